--- a/include/cassiaferry/claims.h
+++ b/include/cassiaferry/claims.h
@@ -58,7 +58,8 @@
   uint64_t nonce = 0;   // whose claim this is: random, new with each attempt
   uint64_t digest = 0;  // of the job's body, to tell a repeat from another job
   std::string owner;    // "ip:port" of the owning entry's HTTP
-  incarnation owner_life;  // a restarted owner has forgotten what it started
+  incarnation
+      owner_incarnation;  // a restarted owner has forgotten what it started
   bool done = false;
   std::string outcome;     // JSON answer, once done
   int64_t expires_ms = 0;  // wall clock, only for sweeping
@@ -81,14 +82,14 @@
   call_id call;
   std::vector<std::string> keys;
 };
-struct ask_owner {  // GET http://owner/internal/claims/NONCE
+struct owner_query {  // GET http://owner/internal/claims/NONCE
   call_id call;
   std::string owner;
-  incarnation owner_life;
+  incarnation owner_incarnation;
   uint64_t nonce = 0;
 };
 
-using claim_action = std::variant<table_transaction, table_read, ask_owner>;
+using claim_action = std::variant<table_transaction, table_read, owner_query>;
 
 struct transaction_reply {
   call_id call;
@@ -113,13 +114,13 @@
 // ---- [4] State --------------------------------------------------------------
 
 enum class claim_phase : uint8_t {
-  inserting,     // waits for, or is in, a transaction
-  reading_back,  // the reply was lost: whose row is it?
-  asking_owner,  // another's claim: was it abandoned?
-  taking_over,   // it was: replace the row, if it has not changed
-  held,          // ours; the job may start
-  writing_done,  // the outcome is being written
-  releasing,     // the job ended not_run: delete the row
+  inserting,       // waits for, or is in, a transaction
+  reading_back,    // the reply was lost: whose row is it?
+  querying_owner,  // another's claim: was it abandoned?
+  taking_over,     // it was: replace the row, if it has not changed
+  held,            // ours; the job may start
+  writing_done,    // the outcome is being written
+  releasing,       // the job ended not_run: delete the row
 };
 
 struct claim {
@@ -136,7 +137,7 @@
 };
 
 // A done row, kept for repeats until it expires.
-struct swept_row {
+struct expiring_row {
   std::string row_key;
   uint64_t version = 0;
   int64_t expires_ms = 0;  // wall clock
@@ -146,8 +147,8 @@
 struct claim_decision {
   job_seq job;
   bool granted = false;
-  reason why = reason::none;  // when not granted
-  verdict what = verdict::not_run;
+  reason cause = reason::none;  // when not granted
+  verdict run_verdict = verdict::not_run;
   std::string outcome;  // a finished job's answer to repeat, if any
 };
 
@@ -165,8 +166,8 @@
   std::vector<claim_action> actions;
   std::vector<claim_decision> decisions;
   std::deque<uint64_t> abandoned;  // nonces given up, kept for askers
-  std::deque<swept_row>
-      sweep;  // done rows of ours, to be deleted when they expire
+  std::deque<expiring_row>
+      expiring_rows;  // done rows of ours, to be deleted when they expire
 };
 
 constexpr size_t kMaxOpsPerTransaction = 64;
@@ -192,9 +193,11 @@
 // The caller or the deadline gave up before the claim was decided.
 void AbandonClaim(claims_state& c, job_seq job);
 
-void OnTransaction(claims_state& c, micros now, const transaction_reply& reply);
-void OnRead(claims_state& c, micros now, const read_reply& reply);
-void OnOwner(claims_state& c, micros now, const owner_reply& reply);
+void OnTransactionReply(claims_state& c,
+                        micros now,
+                        const transaction_reply& reply);
+void OnReadReply(claims_state& c, micros now, const read_reply& reply);
+void OnOwnerReply(claims_state& c, micros now, const owner_reply& reply);
 
 // Forms the next transaction of all that waits. Call each tick.
 void TickClaims(claims_state& c, micros now, int64_t wall_ms);
@@ -203,7 +206,7 @@
 nonce_state StateOfNonce(const claims_state& c, uint64_t nonce);
 
 // Nothing is left that must reach the platform.
-bool ClaimsSettled(const claims_state& c);
+bool HasNoOpenClaims(const claims_state& c);
 
 }  // namespace cassiaferry
 
--- a/include/cassiaferry/closings.h
+++ b/include/cassiaferry/closed_domains.h
@@ -12,8 +12,8 @@
 //   [3] Learning
 //   [4] Views
 
-#ifndef CASSIAFERRY_CLOSINGS_H_
-#define CASSIAFERRY_CLOSINGS_H_
+#ifndef CASSIAFERRY_CLOSED_DOMAINS_H_
+#define CASSIAFERRY_CLOSED_DOMAINS_H_
 
 #include <cstdint>
 #include <set>
@@ -26,45 +26,47 @@
 
 // ---- [1] Types --------------------------------------------------------------
 
-using closings_version = strong_id<struct closings_tag, uint64_t>;  // of the
-                                                                    // store
+using closed_domains_version =
+    strong_id<struct closed_domains_tag, uint64_t>;  // of the
+                                                     // store
 
 // All domains that were closed at one moment.
-struct domain_closings {
-  closings_version version;  // the moment; 0: nothing has been heard
+struct closed_domains {
+  closed_domains_version version;  // the moment; 0: nothing has been heard
   std::set<std::string> domains;
-  bool operator==(const domain_closings&) const = default;
+  bool operator==(const closed_domains&) const = default;
 };
 
 // What one process knows.
-struct closings_state {
-  domain_closings known;  // in force here
-  domain_closings read;   // as read by this process itself, and as of when
+struct closed_domains_state {
+  closed_domains known;  // in force here
+  closed_domains read;   // as read by this process itself, and as of when
 };
 
 // ---- [2] Reading ------------------------------------------------------------
 
-enum class closing_word : uint8_t { closed, open, unreadable };
+enum class domain_status : uint8_t { closed, open, unreadable };
 
 // What stands of one domain where operators write.
-struct domain_word {
+struct domain_status_row {
   std::string domain;
-  closing_word word = closing_word::closed;
+  domain_status status = domain_status::closed;
 };
 
 // The state as of `version`, from one answer of the store. `whole`: a domain
 // that isn't named is open; else it is as it was. What can't be read changes
 // nothing: a domain that was closed stays so.
-domain_closings ReadClosings(const domain_closings& before,
-                             const std::vector<domain_word>& words,
-                             bool whole,
-                             closings_version version);
+closed_domains ClosedDomainsFromRows(
+    const closed_domains& before,
+    const std::vector<domain_status_row>& words,
+    bool whole,
+    closed_domains_version version);
 
 // ---- [3] Learning -----------------------------------------------------------
 
 // This process has read the state from the store. True: the domains in force
 // here have changed.
-bool TakeReadClosings(closings_state& s, domain_closings read);
+bool UpdateClosedDomainsFromStore(closed_domains_state& s, closed_domains read);
 
 // Another process has told the state that it knows. True as above.
 //
@@ -72,16 +74,17 @@
 // process could not follow, so that what it reads is what it knew before; then
 // somebody who only heard of the closing tells it. By its version that is older
 // than what was read here.
-bool TakeToldClosings(closings_state& s, const domain_closings& told);
+bool UpdateClosedDomainsFromPeer(closed_domains_state& s,
+                                 const closed_domains& told);
 
-bool IsClosed(const closings_state& s, const std::string& domain);
+bool IsClosed(const closed_domains_state& s, const std::string& domain);
 
 // ---- [4] Views --------------------------------------------------------------
 
 // For logs: "a b", or "none".
-std::string ToText(const domain_closings& closings);
-std::string ClosingsPrometheusText(const closings_state& s);
+std::string ToText(const closed_domains& closings);
+std::string ClosedDomainsPrometheusText(const closed_domains_state& s);
 
 }  // namespace cassiaferry
 
-#endif  // CASSIAFERRY_CLOSINGS_H_
+#endif  // CASSIAFERRY_CLOSED_DOMAINS_H_
--- a/include/cassiaferry/entry.h
+++ b/include/cassiaferry/entry.h
@@ -26,7 +26,7 @@
 #include <vector>
 
 #include "cassiaferry/claims.h"
-#include "cassiaferry/closings.h"
+#include "cassiaferry/closed_domains.h"
 #include "cassiaferry/config.h"
 #include "cassiaferry/ids.h"
 #include "cassiaferry/leased_jobs.h"
@@ -52,7 +52,8 @@
   micros forget_worker =
       Millis(60'000);  // a lost worker's row is reused after this
   micros drain_grace = Millis(30'000);  // a stop waits so long for the platform
-  size_t explain_keep = 4096;  // finished jobs remembered for `ctl explain`
+  size_t explain_history_size =
+      4096;  // finished jobs remembered for `ctl explain`
   leased_options leased;
 };
 
@@ -85,7 +86,7 @@
 };
 struct job_invalid {  // a body that could be read but not accepted
   ticket_id ticket;
-  failure why;
+  failure error;
 };
 struct caller_gone {
   ticket_id ticket;
@@ -100,11 +101,11 @@
 struct config_received {
   config_document document;  // checked
 };
-struct closings_read {  // by this entry, where operators write them
-  domain_closings closings;
+struct closed_domains_read {  // by this entry, where operators write them
+  closed_domains closed_set;
 };
-struct closings_told {  // by another entry
-  domain_closings closings;
+struct closed_domains_received {  // by another entry
+  closed_domains closed_set;
 };
 struct peers_changed {
   std::vector<std::string> link_addresses;
@@ -118,7 +119,7 @@
   ticket_id ticket;  // answered with whether the job was known
   std::string id;
 };
-struct leased_job_asked {
+struct leased_job_queried {
   ticket_id ticket;
   std::string id;
 };
@@ -129,8 +130,8 @@
                                  sidecar_frame_received,
                                  sidecar_link_lost,
                                  config_received,
-                                 closings_read,
-                                 closings_told,
+                                 closed_domains_read,
+                                 closed_domains_received,
                                  peers_changed,
                                  entry_drain_requested,
                                  wall_clock,
@@ -139,7 +140,7 @@
                                  owner_reply,
                                  leased_job_submitted,
                                  leased_job_cancelled,
-                                 leased_job_asked,
+                                 leased_job_queried,
                                  store_answered>;
 
 // ---- [4] Actions ------------------------------------------------------------
@@ -152,7 +153,7 @@
 struct answer_failed {
   ticket_id ticket;
   job_id job;
-  failure why;
+  failure error;
 };
 struct answer_repeated {  // a keyed job's outcome, again
   ticket_id ticket;
@@ -168,8 +169,8 @@
 struct config_adopted {  // newer than before: to be told to peers
   config_document document;
 };
-struct closings_adopted {  // newer than before: to be told to peers
-  domain_closings closings;
+struct closed_domains_adopted {  // newer than before: to be told to peers
+  closed_domains closed_set;
   bool changed = false;  // other domains than before
 };
 struct entry_drained {};
@@ -185,7 +186,7 @@
                                   send_to_sidecar,
                                   close_link,
                                   config_adopted,
-                                  closings_adopted,
+                                  closed_domains_adopted,
                                   entry_drained,
                                   claim_action,
                                   answer_leased_job,
@@ -240,7 +241,7 @@
   uint32_t speed_samples = 0;
 };
 
-enum class worker_link : uint8_t { down, greeting, up };
+enum class worker_link : uint8_t { down, handshake, up };
 
 struct worker_row {
   std::string name;
@@ -249,7 +250,7 @@
   worker_link state = worker_link::down;
   link_id link;
   link_epoch epoch;
-  uint64_t memory = 0;  // token of the sidecar's memory of this entry
+  uint64_t memory_token = 0;  // token of the sidecar's memory of this entry
   upstream_info upstream;
   worker_load load;          // newest view
   uint32_t starts_sent = 0;  // on this stream
@@ -257,16 +258,17 @@
       0;  // slots offered or granted, not yet used or given back
   std::set<task_ref> unresolved;  // sent, no result yet
   uint64_t acked_through = 0;
-  micros last_heard{0};
+  micros last_received{0};
   micros last_sent{0};
   micros active_since{0};  // the stream carries more than news; 0: it doesn't
   micros lost_since{0};
-  order_key told = kNoBacklog;    // backlog that the sidecar believes, absolute
-  config_version version;         // that the sidecar has
-  bool wants_config = false;      // that this entry has
-  closings_version closed_as_of;  // that the sidecar has
-  closings_version closings_sent;  // on this stream
-  bool closed = false;             // its failure domain is closed for new work
+  order_key backlog_sent =
+      kNoBacklog;             // backlog that the sidecar believes, absolute
+  config_version version;     // that the sidecar has
+  bool wants_config = false;  // that this entry has
+  closed_domains_version closed_version;       // that the sidecar has
+  closed_domains_version closed_version_sent;  // on this stream
+  bool closed = false;  // its failure domain is closed for new work
   worker_health health;
   entry_frame outbox;  // filled during a tick, sent at its end
   bool must_send = false;
@@ -277,12 +279,11 @@
   double mean_run_ms = 0;  // decayed
   double ok = 0;           // recent results of all workers, decayed
   double failed = 0;
-  uint32_t most_cores =
-      0;  // of any worker ever seen; a job above can never run
-  uint64_t most_memory_mb = 0;
+  uint32_t max_cores = 0;  // of any worker ever seen; a job above can never run
+  uint64_t max_memory_mb = 0;
   double drain_per_s = 0;  // tasks finished a second, decayed
   micros drain_updated{0};
-  uint32_t finished_since = 0;
+  uint32_t finished_in_window = 0;
   std::map<std::string, std::set<std::pair<order_key, job_seq>>>
       waiting;  // by team, in order
   uint32_t waiting_tasks = 0;
@@ -300,8 +301,8 @@
   std::string policy;
   size_t tasks = 0;
   uint32_t retries = 0;
-  reason why = reason::none;
-  verdict what = verdict::ran;
+  reason cause = reason::none;
+  verdict run_verdict = verdict::ran;
   std::string message;
   int64_t response_ms = 0;
 };
@@ -312,11 +313,11 @@
   entry_options options;
   random_source random;
   bool draining = false;
-  bool drained_said = false;
+  bool drain_announced = false;
   micros drain_since{0};
   config_document document;
   configuration config;
-  closings_state closings;
+  closed_domains_state closed_domains;
   std::vector<std::string> peers;
   int64_t wall_ms = 0;
   uint64_t next_job = 1;
--- a/include/cassiaferry/journal.h
+++ b/include/cassiaferry/journal.h
@@ -33,15 +33,15 @@
 struct journal_options {
   // Between two transactions, for each entry that owns jobs: together they stay
   // at four fifths of the 250 a second that one part of the store does.
-  micros gather_each = Millis(5);
-  micros backoff = Millis(40);        // after a refusal or no answer, ...
-  micros backoff_most = Millis(320);  // ... doubled up to this
-  micros renew_every = Millis(1000);  // of the own row, while it is needed
-  micros lease = Millis(4000);        // this entry is the owner of what it has
-                                      // journaled, from the sending of a write
-                                      // that was done
-  micros unreachable = Millis(1500);  // no answer for so long: the store is
-                                      // taken to be out of reach
+  micros batch_interval_per_writer = Millis(5);
+  micros backoff = Millis(40);           // after a refusal or no answer, ...
+  micros max_backoff = Millis(320);      // ... doubled up to this
+  micros renew_interval = Millis(1000);  // of the own row, while it is needed
+  micros lease = Millis(4000);  // this entry is the owner of what it has
+                                // journaled, from the sending of a write
+                                // that was done
+  micros unreachable_after = Millis(1500);  // no answer for so long: the store
+                                            // is taken to be out of reach
 };
 
 // The store takes 100 rows in a transaction, conditions and writes together.
@@ -75,21 +75,21 @@
   uint64_t call = 0;     // 0: not sent, or answered with a refusal
   micros sent{0};        // the newest copy
   micros first_sent{0};  // leases count from here, as any copy may be the one
-  bool may_be_done = false;  // a copy got no answer
-  std::string own_value;     // of the own row, unique to this transaction
+  bool may_be_done = false;   // a copy got no answer
+  std::string own_row_value;  // of the own row, unique to this transaction
 };
 
 struct journal_state {
   journal_options options;
-  row_key own;          // the entry's own row
-  bool wanted = false;  // the own row is to be kept, and renewed
-  std::string facts;    // JSON members of the own row, beside the beat
+  row_key own_row;              // the entry's own row
+  bool own_row_wanted = false;  // the own row is to be kept, and renewed
+  std::string own_fields;       // JSON members of the own row, beside the beat
   std::deque<journal_op> waiting;
   std::optional<open_transaction> open;
   std::vector<journal_result> results;  // for the caller to take
   uint64_t next_op = 1;
   uint64_t next_call = 1;
-  uint64_t beat = 0;
+  uint64_t heartbeat = 0;
   uint64_t own_version = 0;  // 0: there is no own row
   micros leased_until{0};
   micros next_send{0};
@@ -104,15 +104,15 @@
 // ---- [4] Calls --------------------------------------------------------------
 
 // Queues an operation; its result comes once, unless this entry is deposed.
-journal_op_id Write(journal_state& j, row_transaction rows);
+journal_op_id EnqueueWrite(journal_state& j, row_transaction rows);
 
 // Takes back an operation no copy of which was sent. False: it may be done.
 bool Withdraw(journal_state& j, journal_op_id id);
 
-void TakeJournalReply(journal_state& j,
-                      micros now,
-                      uint64_t call,
-                      const rows_reply& reply);
+void HandleJournalReply(journal_state& j,
+                        micros now,
+                        uint64_t call,
+                        const rows_reply& reply);
 
 // Sends what is due. The own row is removed when it is not wanted and nothing
 // waits.
--- a/include/cassiaferry/leased_jobs.h
+++ b/include/cassiaferry/leased_jobs.h
@@ -38,12 +38,13 @@
 
 struct leased_step {
   uint32_t count = 1;           // tasks
-  room need;                    // of each task
+  resources need;               // of each task
   int64_t expected_ms = 0;      // declared, often wrong; 0: none
   std::vector<uint32_t> after;  // earlier steps that must be done first
   std::string label;            // that the worker must have; empty: any
-  std::string near;  // label of the workers where its data lie: taken first
-  uint32_t most_per_worker = 0;  // tasks of the step on one worker; 0: any
+  std::string
+      preferred_label;  // label of the workers where its data lie: taken first
+  uint32_t max_per_worker = 0;  // tasks of the step on one worker; 0: any
 };
 
 struct leased_job_request {
@@ -65,7 +66,7 @@
 struct answer_leased_job {
   ticket_id ticket;
   leased_outcome outcome = leased_outcome::completed;
-  failure why;  // of a refusal
+  failure error;  // of a refusal
 };
 
 // What a caller asked of a job.
@@ -91,12 +92,12 @@
 struct leased_task_row {
   leased_task task;
   leased_task_state state = leased_task_state::blocked;
-  uint32_t run = 0;       // newest
-  uint32_t failed = 0;    // runs that ended as failed
-  uint32_t given_up = 0;  // newest run given up without word of its end
-  uint32_t moved = 0;     // runs that were stopped because they took too long
-  bool moving = false;    // the stop of this run is on its way
-  worker_id worker;       // while placed
+  uint32_t run = 0;            // newest
+  uint32_t failed = 0;         // runs that ended as failed
+  uint32_t abandoned_run = 0;  // newest run given up without word of its end
+  uint32_t moves = 0;   // runs that were stopped because they took too long
+  bool moving = false;  // the stop of this run is on its way
+  worker_id worker;     // while placed
 };
 
 struct leased_job {
@@ -105,75 +106,78 @@
   queue_config
       queue;  // a copy: a change of configuration leaves the job as it is
   std::string payload;
-  bool payload_packed = false;
+  bool payload_compressed = false;
   std::vector<leased_step> steps;
-  std::vector<uint32_t> step_left;  // tasks of each step not done
+  std::vector<uint32_t> step_tasks_left;  // tasks of each step not done
   std::vector<leased_task_row> tasks;
   std::vector<uint32_t> waiting;   // indices into `tasks`
   std::vector<ticket_id> tickets;  // callers that wait for the answer
   micros arrival{0};
-  micros deadline{0};        // callers wait no longer; 0: no bound
-  micros late_from{0};       // done later than this, it is late
-  micros worthless_from{0};  // ... and later than this, of no use
-  micros expected{0};        // its longest chain of work
-  int64_t least_cpu = 0;     // that a task of it needs
+  micros deadline{0};       // callers wait no longer; 0: no bound
+  micros late_after{0};     // done later than this, it is late
+  micros useless_after{0};  // ... and later than this, of no use
+  micros expected{0};       // its longest chain of work
+  int64_t min_cpu = 0;      // that a task of it needs
   uint32_t placed = 0;
   uint32_t done = 0;
   bool started = false;  // a run was ordered, and may have begun: the job can't
                          // be refused any more
-  bool ran = false;      // one has, or may have
+  bool may_have_run = false;  // one has, or may have
   micros started_at{0};
   bool queued = false;   // stands in the waiting table, or among the overdue
   bool overdue = false;  // durable, and of no use any more: served last
-  durable_part durable;
+  durable_job_state durable;
 };
 
 // A start that the sidecar has not said to have seen.
-struct open_start {
+struct unconfirmed_start {
   uint64_t sequence = 0;  // on this stream
-  room need;
+  resources need;
   micros sent{0};
 };
 
 // What was ordered of an end that a sidecar holds, and is not confirmed yet.
-struct open_settlement {
-  uint64_t sequence = 0;  // on this stream
-  uint64_t number = 0;    // of the end; 0: it was unclaimed
-  settled_end what;
+struct open_resolution {
+  uint64_t sequence = 0;    // on this stream
+  uint64_t end_number = 0;  // of the end; 0: it was unclaimed
+  resolved_end what;
 };
 
 // What this entry knows of the worker behind a sidecar.
 struct leased_worker {
   bool known = false;
   leased_worker_info info;
-  room largest;  // capacity that this life of it has had
+  resources max_capacity;  // capacity that this life of it has had
   bool takes_work = false;
-  room free;                 // as reported
-  int64_t stamp = 0;         // of the newest report, on the sidecar's clock
-  micros heard{0};           // when it came
-  micros vouched{0};         // newest moment, later than that, from which this
+  resources free;                // as reported
+  int64_t report_stamp = 0;      // of the newest report, on the sidecar's clock
+  micros report_received_at{0};  // when it came
+  micros owner_lease_renewed_at{
+      0};                    // newest moment, later than that, from which this
                              // entry's runs there were vouched for
-  clock_gap gap;             // of those two clocks
+  clock_offset offset;       // of those two clocks
   uint64_t starts_sent = 0;  // on this stream
-  std::deque<open_start> in_flight;  // not yet reported
-  room in_flight_room;
-  uplink_stream frames;        // sent, not known to have arrived
-  uint64_t acked_end = 0;      // taken
-  uint64_t acked_told = 0;     // of these, told to the sidecar
-  bool wanted_told = false;    // it was told that this entry waits for room
-  bool follows = false;        // this entry wants to hear of changes there ...
-  bool follows_told = false;   // ... as it was told
-  std::set<uint64_t> unsaved;  // ends taken that are not stored yet: they, and
-                               // what comes after, are not acknowledged
-  std::deque<open_settlement> settling;
-  uint64_t settled_sent = 0;  // on this stream
-  uint64_t sidecar_life = 0;  // grows with each new process behind the name
-  std::map<run_ref, leased_seq> open;  // ordered, no end heard
+  std::deque<unconfirmed_start> in_flight;  // not yet reported
+  resources in_flight_resources;
+  uplink_stream frames;          // sent, not known to have arrived
+  uint64_t acked_end = 0;        // taken
+  uint64_t acked_end_sent = 0;   // of these, told to the sidecar
+  bool wanted_cpu_sent = false;  // it was told that this entry waits for room
+  bool follows = false;       // this entry wants to hear of changes there ...
+  bool follows_sent = false;  // ... as it was told
+  std::set<uint64_t>
+      unsaved_ends;  // ends taken that are not stored yet: they, and
+                     // what comes after, are not acknowledged
+  std::deque<open_resolution> open_resolutions;
+  uint64_t resolutions_sent = 0;  // on this stream
+  uint64_t sidecar_incarnation =
+      0;  // grows with each new process behind the name
+  std::map<run_ref, leased_seq> open_runs;  // ordered, no end heard
   // Runs ordered of a sidecar life that is gone; over at the given time.
   std::vector<std::pair<micros, std::vector<run_ref>>> orphaned;
-  double pace = 1;        // work done against expected, as reported
-  double failing = 0;     // share of recent runs that failed, decayed
-  micros avoid_until{0};  // refused a run: others first
+  double pace = 1;           // work done against expected, as reported
+  double failure_share = 0;  // share of recent runs that failed, decayed
+  micros avoid_until{0};     // refused a run: others first
   // A sick worker gets a run now and then, to see whether it is well again.
   micros probe_after{0};
   micros probe_pause{0};  // since the newest one went badly
@@ -207,11 +211,13 @@
   leased_admission admission = leased_admission::in_time;
   leased_order order = leased_order::fair_share;
   bool enabled = false;
-  micros pause = Millis(350);  // between ticks: then this process was frozen
-  micros settle = Millis(60);  // after a pause nothing starts for so long
-  micros drain_accept{0};      // a stopping entry takes jobs for so long, as
-                               // callers stay on their open connections
-  micros drain_close{0};       // ... and then has this long to end them
+  micros pause_threshold =
+      Millis(350);  // between ticks: then this process was frozen
+  micros recovery_delay =
+      Millis(60);          // after a pause nothing starts for so long
+  micros drain_accept{0};  // a stopping entry takes jobs for so long, as
+                           // callers stay on their open connections
+  micros drain_close{0};   // ... and then has this long to end them
   durable_options durable;
   uplink_options link;
   lateness_options late;
@@ -254,22 +260,22 @@
   // Work of the jobs that come, thousandths of a core times the share of time
   // that they need them: of late, and since it was measured.
   double work_arriving = 0;
-  double work_arriving_before = 0;  // a measurement earlier
-  double work_newest = 0;           // of the newest measurement alone
-  double work_arrived = 0;          // ... times microseconds
-  micros arrivals_measured{0};
-  micros last_refusal{0};     // when hopeless jobs were last looked for
-  int64_t cpu_taking = 0;     // capacity of the workers that take work ...
-  micros grown_at{0};         // ... and when it last grew
-  int64_t wanted_cpu = 0;     // that workers are to tell of; 0: no task waits
-  micros wanted_since{0};     // since when some do
-  bool asked_all = false;     // all workers were asked to
-  uplink link;                // of this process's machine
-  double link_rate_told = 0;  // its bound, as last logged
-  lateness late;              // of this process
+  double previous_work_arriving = 0;  // a measurement earlier
+  double last_work_sample = 0;        // of the newest measurement alone
+  double work_arrived = 0;            // ... times microseconds
+  micros arrivals_measured_at{0};
+  micros last_refusal{0};       // when hopeless jobs were last looked for
+  int64_t accepting_cpu = 0;    // capacity of the workers that take work ...
+  micros capacity_grown_at{0};  // ... and when it last grew
+  int64_t wanted_cpu = 0;       // that workers are to tell of; 0: no task waits
+  micros wanted_since{0};       // since when some do
+  bool requested_from_all = false;  // all workers were asked to
+  uplink link;                      // of this process's machine
+  double logged_link_rate = 0;      // its bound, as last logged
+  lateness late;                    // of this process
   micros last_tick{0};
   micros last_follow{0};  // when the workers to follow were last chosen
-  micros settle_until{0};
+  micros recovery_until{0};
   durable_state durable;
   leased_counters counters;
   std::map<std::string, queue_latencies> latencies;  // by queue
--- a/include/cassiaferry/leases.h
+++ b/include/cassiaferry/leases.h
@@ -30,24 +30,24 @@
 // ---- [1] Room ---------------------------------------------------------------
 
 // What a task needs, or a worker has.
-struct room {
+struct resources {
   int64_t cpu = 0;        // thousandths of a core
   int64_t memory_mb = 0;  // MiB
   int64_t gpus = 0;
-  bool operator==(const room&) const = default;
+  bool operator==(const resources&) const = default;
 };
 
-constexpr room operator+(const room& a, const room& b) {
+constexpr resources operator+(const resources& a, const resources& b) {
   return {a.cpu + b.cpu, a.memory_mb + b.memory_mb, a.gpus + b.gpus};
 }
-constexpr room operator-(const room& a, const room& b) {
+constexpr resources operator-(const resources& a, const resources& b) {
   return {a.cpu - b.cpu, a.memory_mb - b.memory_mb, a.gpus - b.gpus};
 }
-constexpr room Largest(const room& a, const room& b) {
+constexpr resources ElementwiseMax(const resources& a, const resources& b) {
   return {std::max(a.cpu, b.cpu), std::max(a.memory_mb, b.memory_mb),
           std::max(a.gpus, b.gpus)};
 }
-constexpr bool Fits(const room& need, const room& free) {
+constexpr bool Fits(const resources& need, const resources& free) {
   return need.cpu <= free.cpu && need.memory_mb <= free.memory_mb &&
          need.gpus <= free.gpus;
 }
@@ -93,25 +93,26 @@
 
 struct run_start {
   run_ref ref;
-  room need;
+  resources need;
   uint32_t expected_ms = 0;  // by the entry's estimate
   std::string payload;
   bool durable =
       false;  // the worker keeps its end until the owner has stored it
-  bool packed = false;  // the payload (pack.h)
+  bool compressed = false;  // the payload (compression.h)
 };
 
 // What becomes of an end that a sidecar holds.
-enum class end_fate : uint8_t {
-  forget,   // it is stored, or of no job that lives: acknowledge it
-  lapse,    // its task has started again since: the worker's lease must lapse
-            // before the end may be acknowledged
-  pass_on,  // this entry is not its job's owner any more: offer it to others
+enum class end_disposition : uint8_t {
+  forget,           // it is stored, or of no job that lives: acknowledge it
+  expire_lease,     // its task has started again since: the worker's lease must
+                    // lapse before the end may be acknowledged
+  offer_to_others,  // this entry is not its job's owner any more: offer it to
+                    // others
 };
 
-struct settled_end {
+struct resolved_end {
   run_ref ref;
-  end_fate fate = end_fate::forget;
+  end_disposition disposition = end_disposition::forget;
 };
 
 struct lease_orders {
@@ -121,13 +122,14 @@
   std::vector<run_start> starts;
   std::vector<run_ref> stops;
   uint64_t acked_end = 0;  // ends up to this number may be forgotten
-  uint64_t taken_end = 0;  // first of a stream: the newest end ever heard
-  std::vector<settled_end> settled;  // taken before `acked_end`
+  uint64_t last_received_end =
+      0;  // first of a stream: the newest end ever heard
+  std::vector<resolved_end> resolved_ends;  // taken before `acked_end`
   // Tasks wait for room: tell at once when so much is free, thousandths of a
   // core, the least that one of them needs; 0: none wait.
   int64_t wanted_cpu = 0;
-  bool follows = false;        // wants to hear of changes of the room there
-  bool is_first = false;       // of a stream: `known` is complete
+  bool follows_resources = false;  // wants to hear of changes of the room there
+  bool is_first = false;           // of a stream: `known` is complete
   std::vector<run_ref> known;  // runs ordered of this sidecar life, not ended
 };
 
@@ -136,7 +138,7 @@
 struct run_end {
   uint64_t number = 0;  // grows per entry; acknowledged cumulatively
   run_ref ref;
-  run_end_kind how = run_end_kind::done;
+  run_end_kind kind = run_end_kind::done;
   uint32_t run_ms = 0;  // from the order to the end
 };
 
@@ -149,7 +151,7 @@
 
 // The newest frame that the sidecar has had of an entry: tells the entry how
 // long its link takes. Microseconds.
-struct heard_frame {
+struct received_frame {
   int64_t sent = 0;     // its stamp; 0: none yet
   int64_t transit = 0;  // the sidecar's clock when it came, less that
   int64_t held = 0;     // from then until now
@@ -157,45 +159,45 @@
 
 // One start of a worker. It may start again under the id that it had, and then
 // knows nothing of before; what it numbers, its clock among them, starts anew.
-struct worker_life {
+struct worker_session {
   std::string id;
   int64_t started_ms = 0;  // Unix time, by its own clock; 0: it didn't tell
-  auto operator<=>(const worker_life&) const = default;
+  auto operator<=>(const worker_session&) const = default;
 };
 
-std::string ToText(const worker_life& life);
+std::string ToText(const worker_session& life);
 
 // The worker beside the sidecar, as it announced itself.
 struct leased_worker_info {
-  worker_life life;
+  worker_session session;
   std::string upstream;
-  room capacity;
+  resources capacity;
   std::vector<std::string> labels;
   bool operator==(const leased_worker_info&) const = default;
 };
 
 struct lease_reports {
-  int64_t stamp = 0;          // the sidecar's clock, microseconds
-  uint64_t starts_seen = 0;   // of this stream
-  uint64_t settled_seen = 0;  // of this stream
-  bool takes_work = false;
-  room free;
+  int64_t stamp = 0;           // the sidecar's clock, microseconds
+  uint64_t starts_seen = 0;    // of this stream
+  uint64_t resolved_seen = 0;  // of this stream
+  bool accepts_work = false;
+  resources free;
   std::optional<leased_worker_info> worker;  // on change, and first of a stream
   std::vector<run_end> ends;
   uint32_t pace = 1000;  // work done against expected, thousandths: a slow
                          // worker has less, one that stands still 0
   std::vector<straggler> stragglers;
   std::vector<run_end> unclaimed;  // held for owners that are silent or unknown
-  heard_frame heard;
+  received_frame last_received;
 };
 
 // ---- [5] Bounds -------------------------------------------------------------
 
 // How long each party believes another. One set for all processes of a system.
 struct lease_bounds {
-  micros lease = Millis(700);     // of a worker, from each extension
-  micros longest = Millis(1000);  // a worker cuts longer ones down to this
-  micros vouch = Millis(400);     // of an owner, from the stamp it echoes
+  micros lease = Millis(700);        // of a worker, from each extension
+  micros max_lease = Millis(1000);   // a worker cuts longer ones down to this
+  micros owner_lease = Millis(400);  // of an owner, from the stamp it echoes
   micros margin = Millis(50);  // timers fire late, and a stop takes this long
 };
 
@@ -203,19 +205,19 @@
 constexpr int64_t kClockDriftPercent = 2;
 
 // This time of a worker's clock has passed by any clock after this.
-constexpr micros PassedAfter(micros time) {
+constexpr micros ElapsedByAnyClock(micros time) {
   return micros{time.value * 100 / (100 - kClockDriftPercent)};
 }
 
 // A lease granted now has lapsed by any clock after this.
-constexpr micros LapsedAfter(const lease_bounds& bounds) {
-  return PassedAfter(bounds.lease);
+constexpr micros LeaseExpiredAfter(const lease_bounds& bounds) {
+  return ElapsedByAnyClock(bounds.lease);
 }
 
 // After the last word from a sidecar, its runs of this entry are over: the
 // entry's vouch has run out, and then, should the sidecar be frozen, the lease.
-constexpr micros OverAfter(const lease_bounds& bounds) {
-  return bounds.vouch + LapsedAfter(bounds) + bounds.margin;
+constexpr micros RunsOverAfter(const lease_bounds& bounds) {
+  return bounds.owner_lease + LeaseExpiredAfter(bounds) + bounds.margin;
 }
 
 // Bounds that fit what the platform allows. `lease_max`: the longest lease a
@@ -232,9 +234,9 @@
 // and sends 120 frames a second instead of 910.
 struct link_timing {
   micros heartbeat = Millis(500);
-  micros silence = Millis(2000);
+  micros silence_timeout = Millis(2000);
   micros idle_heartbeat = Millis(500);
-  micros idle_silence = Millis(2000);
+  micros idle_silence_timeout = Millis(2000);
 };
 
 // Owners are vouched for by frames: several fit into the bound.
--- a/include/cassiaferry/messages.h
+++ b/include/cassiaferry/messages.h
@@ -17,7 +17,7 @@
 #include <string>
 #include <vector>
 
-#include "cassiaferry/closings.h"
+#include "cassiaferry/closed_domains.h"
 #include "cassiaferry/ids.h"
 #include "cassiaferry/leases.h"
 #include "cassiaferry/verdict.h"
@@ -73,14 +73,14 @@
   std::optional<order_key> backlog;  // relative to now; kNoBacklog: none
   uint32_t backlog_tasks = 0;        // that wait: more slots are not wanted
   uint32_t declines = 0;             // offers given back unused
-  uint64_t acked_through = 0;  // results up to this number may be forgotten
-  bool goodbye = false;        // the entry stops and has nothing unresolved
+  uint64_t acked_through = 0;    // results up to this number may be forgotten
+  bool shutdown_notice = false;  // the entry stops and has nothing unresolved
   std::vector<std::string>
       peers;               // addresses of entries to dial, with each heartbeat
   config_version version;  // newest configuration known
   std::optional<config_document> config;
-  closings_version closed_as_of;  // newest state of the closings known
-  std::optional<domain_closings> closings;
+  closed_domains_version closed_version;  // newest state of the closings known
+  std::optional<closed_domains> closed_set;
   std::optional<lease_orders> orders;  // of leased runs
 };
 
@@ -108,32 +108,32 @@
   std::string name;  // from settings; unique among sidecars
   std::string failure_domain;
   config_version version;
-  closings_version closed_as_of;
+  closed_domains_version closed_version;
 };
 
-enum class task_fate : uint8_t { never_started, running, resolved };
+enum class task_outcome : uint8_t { never_started, running, resolved };
 
 struct reconcile_record {
   task_ref task;
-  task_fate fate = task_fate::never_started;
+  task_outcome outcome = task_outcome::never_started;
 };
 
 // The answer to an entry's hello. `memory` differs from the one that the entry
 // has seen before if the sidecar has forgotten anything of this entry.
 struct reconcile_reply {
-  uint64_t memory = 0;
+  uint64_t memory_token = 0;
   std::vector<reconcile_record> tasks;
 };
 
 struct result_record {
   uint64_t number = 0;  // grows per entry; acknowledged cumulatively
   task_ref task;
-  verdict what = verdict::ran;  // not_run: a proven refusal; may have run: the
-                                // exchange broke
-  bool ok = false;              // ran, and the upstream answered 200
-  uint32_t run_ms = 0;          // time on the upstream
-  uint32_t queue_ms = 0;        // time queued in the sidecar
-  std::string output;           // the answer, or the failure's text
+  verdict run_verdict = verdict::ran;  // not_run: a proven refusal; may have
+                                       // run: the exchange broke
+  bool ok = false;                     // ran, and the upstream answered 200
+  uint32_t run_ms = 0;                 // time on the upstream
+  uint32_t queue_ms = 0;               // time queued in the sidecar
+  std::string output;                  // the answer, or the failure's text
 };
 
 struct reject_record {
@@ -165,13 +165,13 @@
   uint32_t granted =
       0;  // slots that results of this frame free, kept for this entry
   worker_load load;
-  bool goodbye =
+  bool shutdown_notice =
       false;  // the sidecar stops; nothing of this entry is left on it
   config_version version;
   std::optional<config_document> config;
-  bool wants_config = false;      // the entry's is newer: it is to send it
-  closings_version closed_as_of;  // newest state of the closings known
-  std::optional<domain_closings> closings;
+  bool wants_config = false;  // the entry's is newer: it is to send it
+  closed_domains_version closed_version;  // newest state of the closings known
+  std::optional<closed_domains> closed_set;
   std::optional<lease_reports> reports;  // of leased runs
 };
 
--- a/include/cassiaferry/metrics.h
+++ b/include/cassiaferry/metrics.h
@@ -47,12 +47,12 @@
   uint64_t jobs_failed = 0;
   uint64_t bytes_sent = 0;  // control bytes on streams, payloads included
   uint64_t frames_sent = 0;
-  uint64_t frames_taken = 0;
+  uint64_t frames_received = 0;
   uint64_t ticks = 0;
 
-  void Refused(reason r) { ++refused[static_cast<size_t>(r)]; }
-  void Retried(retry_reason r) { ++retried[static_cast<size_t>(r)]; }
-  void Sent(record_kind k, uint64_t n = 1) {
+  void CountRefusal(reason r) { ++refused[static_cast<size_t>(r)]; }
+  void CountRetry(retry_reason r) { ++retried[static_cast<size_t>(r)]; }
+  void CountSent(record_kind k, uint64_t n = 1) {
     records[static_cast<size_t>(k)] += n;
   }
 };
--- a/include/cassiaferry/policy.h
+++ b/include/cassiaferry/policy.h
@@ -39,9 +39,9 @@
                   random_source& random);
 size_t PickRoundRobin(const std::vector<worker_choice>& workers,
                       uint64_t& turn);
-size_t PickLeastOf(const std::vector<worker_choice>& workers,
-                   uint32_t choices,
-                   random_source& random);
+size_t PickLeastLoaded(const std::vector<worker_choice>& workers,
+                       uint32_t choices,
+                       random_source& random);
 
 // The worker with the largest share of its slots free, weighted by speed; ties
 // at random. Empty: none has a free slot.
--- a/include/cassiaferry/rows.h
+++ b/include/cassiaferry/rows.h
@@ -52,9 +52,9 @@
 // Rows of one table in the order of keys, a page at a time.
 struct row_range {
   std::string table;
-  std::string from;    // first key; empty: the table's first
-  uint32_t limit = 0;  // rows; 0: as many as the store gives
-  bool past = false;   // the key `from` itself is passed over
+  std::string from;           // first key; empty: the table's first
+  uint32_t limit = 0;         // rows; 0: as many as the store gives
+  bool exclude_from = false;  // the key `from` itself is passed over
 };
 
 using row_call = std::variant<row_transaction, row_range>;
--- a/include/cassiaferry/sidecar.h
+++ b/include/cassiaferry/sidecar.h
@@ -22,9 +22,9 @@
 #include <variant>
 #include <vector>
 
-#include "cassiaferry/closings.h"
+#include "cassiaferry/closed_domains.h"
 #include "cassiaferry/ids.h"
-#include "cassiaferry/lease_keeper.h"
+#include "cassiaferry/lease_manager.h"
 #include "cassiaferry/messages.h"
 #include "cassiaferry/metrics.h"
 
@@ -33,24 +33,24 @@
 // ---- [1] Options ------------------------------------------------------------
 
 struct sidecar_options {
-  std::string name;                        // unique among sidecars
-  std::string failure_domain;              // where this worker stands
-  incarnation self;                        // random, new with each process
-  uint64_t seed = 1;                       // of random numbers in decisions
-  std::vector<std::string> seeds;          // entry addresses from the start
-  link_timing timing;                      // of streams to entries
-  micros redial = Millis(200);             // wait after a failed dial
-  micros announce_timeout = Millis(3000);  // then the upstream is leaving
-  micros offer_timeout = Millis(100);      // an unanswered offer is void
-  micros entry_memory = Millis(600'000);   // an unheard entry is forgotten
-  micros orphan_timeout = Millis(30'000);  // its running tasks are stopped
-  micros drain_grace = Millis(10'000);     // a stop waits so long for it
-  micros keep_slot_margin = Millis(2000);  // another entry's job must be so
-                                           // much earlier to get a freed slot
-  size_t max_results_bytes = 32 << 20;     // unacknowledged, for one entry
-  size_t max_queued = 20'000;              // tasks and probes queued here
-  bool keeps_leases = false;               // its worker runs tasks under leases
-  keeper_options keeper;
+  std::string name;                          // unique among sidecars
+  std::string failure_domain;                // where this worker stands
+  incarnation self;                          // random, new with each process
+  uint64_t seed = 1;                         // of random numbers in decisions
+  std::vector<std::string> seeds;            // entry addresses from the start
+  link_timing timing;                        // of streams to entries
+  micros redial = Millis(200);               // wait after a failed dial
+  micros announce_timeout = Millis(3000);    // then the upstream is leaving
+  micros offer_timeout = Millis(100);        // an unanswered offer is void
+  micros entry_retention = Millis(600'000);  // an unheard entry is forgotten
+  micros orphan_timeout = Millis(30'000);    // its running tasks are stopped
+  micros drain_grace = Millis(10'000);       // a stop waits so long for it
+  micros keep_slot_margin = Millis(2000);    // another entry's job must be so
+                                             // much earlier to get a freed slot
+  size_t max_results_bytes = 32 << 20;       // unacknowledged, for one entry
+  size_t max_queued = 20'000;                // tasks and probes queued here
+  bool manages_leases = false;  // its worker runs tasks under leases
+  lease_manager_options lease_manager;
 };
 
 // ---- [2] Events -------------------------------------------------------------
@@ -70,7 +70,7 @@
 struct task_finished {
   incarnation entry;
   task_ref task;
-  verdict what = verdict::ran;
+  verdict run_verdict = verdict::ran;
   bool ok = false;
   std::string output;
 };
@@ -86,7 +86,7 @@
                                    task_finished,
                                    drain_requested,
                                    entries_found,
-                                   keeper_event>;
+                                   lease_manager_event>;
 
 // ---- [3] Actions ------------------------------------------------------------
 
@@ -121,7 +121,7 @@
                                     run_task,
                                     stop_task,
                                     drained,
-                                    keeper_action>;
+                                    lease_manager_action>;
 
 // ---- [4] State --------------------------------------------------------------
 
@@ -131,30 +131,30 @@
 struct entry_link {
   std::string address;
   link_state state = link_state::idle;
-  link_epoch epoch;               // of the newest stream dialled
-  incarnation entry;              // known once up
-  config_version version;         // that the entry told last
-  closings_version closed_as_of;  // ... too
+  link_epoch epoch;                     // of the newest stream dialled
+  incarnation entry;                    // known once up
+  config_version version;               // that the entry told last
+  closed_domains_version closed_as_of;  // ... too
   micros relay_at{0};  // when it gets what is newer here; 0: it is not behind
-  micros last_heard{0};
+  micros last_received_at{0};
   micros last_sent{0};
   micros next_dial{0};
   micros first_failed{0};  // 0: the last dial went well
   bool is_seed = false;    // seeds are never forgotten
-  upstream_info upstream_told;
-  upstream_state state_told = upstream_state::absent;
+  upstream_info reported_upstream;
+  upstream_state reported_state = upstream_state::absent;
   sidecar_frame outbox;  // filled during a tick, sent at its end
   bool must_send = false;
 };
 
 // What is remembered of one entry incarnation. Keeps the fence.
-struct entry_memory {
+struct known_entry {
   uint64_t token =
       0;             // told to the entry; new whenever something was forgotten
   link_epoch fence;  // frames of any other epoch are dropped
   entry_id link;
   bool linked = false;
-  micros last_heard{0};
+  micros last_received_at{0};
   order_key backlog = kNoBacklog;  // absolute, on this sidecar's clock
   uint32_t backlog_tasks = 0;      // slots still wanted for it
   std::deque<micros> offers;  // when each unanswered offer or grant was made
@@ -186,10 +186,10 @@
 
 // A configuration that entries tell of, and that is not here yet.
 struct config_search {
-  config_version newest;  // that any entry told of ...
-  micros heard_at{0};     // ... and when
-  micros ask_at{0};       // at the latest
-  micros asked_at{0};
+  config_version newest;         // that any entry told of ...
+  micros newest_received_at{0};  // ... and when
+  micros request_at{0};          // at the latest
+  micros requested_at{0};
 };
 
 struct sidecar_state {
@@ -202,15 +202,15 @@
   micros last_announced{0};
   uint64_t next_epoch = 1;
   std::vector<entry_link> links;  // by entry_id
-  std::map<incarnation, entry_memory> entries;
+  std::map<incarnation, known_entry> entries;
   std::map<task_key, running_task> running;
   std::map<std::pair<order_key, uint64_t>, queued_item>
       queue;  // by order, then arrival
   uint64_t next_queued = 0;
   config_document config;
   struct config_search config_search;
-  closings_state closings;
-  keeper_state keeper;
+  closed_domains_state closed_domains;
+  lease_manager_state lease_manager;
   counters metrics;
   std::vector<sidecar_action> actions;  // of the tick in progress
 };
--- a/include/cassiaferry/verdict.h
+++ b/include/cassiaferry/verdict.h
@@ -24,7 +24,7 @@
 };
 
 const char* ToText(verdict v);
-verdict Worse(
+verdict WeakerVerdict(
     verdict a,
     verdict b);  // the one that promises less: not_run only if both are
 
@@ -73,8 +73,8 @@
 // ---- [3] Failure ------------------------------------------------------------
 
 struct failure {
-  verdict what = verdict::not_run;
-  reason why = reason::none;
+  verdict run_verdict = verdict::not_run;
+  reason cause = reason::none;
   std::string message;         // one sentence, for a person
   int64_t retry_after_ms = 0;  // 0: a retry makes no sense or needs no wait
 };
--- a/model/check.sh
+++ b/model/check.sh
@@ -55,7 +55,7 @@
 expect violated leases ONE_SIDED DEADLINE=4 LEAVES_AT=4 READ_WITHIN=3
 expect holds journal
 for m in NO_CHAIN CONFIRM_EARLY SCAN_FIRST ACK_EARLY NO_GIVE_UP NO_LAPSE; do expect violated journal $m; done
-expect holds closings
-for m in BY_ARRIVAL NO_AS_OF OWN_NUMBER NO_GATE NO_RELAY; do expect violated closings $m; done
+expect holds closed_domains
+for m in BY_ARRIVAL NO_AS_OF OWN_NUMBER NO_GATE NO_RELAY; do expect violated closed_domains $m; done
 echo "model: $passed as expected, $failed not"
 [ "$failed" = 0 ]
--- a/model/closings.pml
+++ b/model/closed_domains.pml
@@ -8,7 +8,7 @@
  * is never older than what it has read itself; nothing starts where the sidecar
  * knows the domain closed; and once all is quiet, all know what the store says.
  *
- * Code: src/core/closings.cc, sidecar_config.cc, entry_links.cc. Mutants:
+ * Code: src/core/closed_domains.cc, sidecar_config.cc, entry_links.cc. Mutants:
  *
  *   BY_ARRIVAL  what is told last holds, whatever its number
  *   NO_AS_OF    a telling older than the own reading of the same state is taken
--- a/model/leases.pml
+++ b/model/leases.pml
@@ -17,7 +17,7 @@
  * as over when the lease that it granted is. Another life's answer proves the
  * same; then nothing runs, and nothing is left to check.
  *
- * Code: src/core/lease_keeper.cc, keeper_lives.cc, leased_jobs.cc,
+ * Code: src/core/lease_manager.cc, lease_manager_sessions.cc, leased_jobs.cc,
  * src/net/control_loop.h. Mutants:
  *
  *   NO_VOUCH       the sidecar stops nothing, and extends the lease, unvouched for
--- a/src/apps/ctl_main.cc
+++ b/src/apps/ctl_main.cc
@@ -235,7 +235,7 @@
                     : kExitOk;
 }
 
-int Close(const std::string& domain) {
+int RemoveOwnerRow(const std::string& domain) {
   return SetDomain(domain, true);
 }
 
@@ -334,7 +334,7 @@
 int RunCommand(const std::vector<std::string>& words) {
   const std::map<std::string, std::function<int(const std::string&)>>
       with_argument = {{"validate", Validate}, {"diff", Diff},
-                       {"apply", Apply},       {"close", Close},
+                       {"apply", Apply},       {"close", RemoveOwnerRow},
                        {"reopen", Reopen},     {"explain", Explain}};
   const std::map<std::string, std::function<int()>> alone = {
       {"get", Get}, {"status", Status}};
--- a/src/apps/entry_app.cc
+++ b/src/apps/entry_app.cc
@@ -46,7 +46,7 @@
   o.leased.bounds = BoundsFor(Millis(settings.lease_max_ms),
                               Millis(settings.resend_after_ms));
   constexpr double kBytesPerMegabit = 1e6 / 8;
-  o.leased.link.stated = settings.link_mbps * kBytesPerMegabit;
+  o.leased.link.configured_rate = settings.link_mbps * kBytesPerMegabit;
   o.timing = TimingFor(o.leased.bounds);
   // Two fifths of the time to stop are for callers to move on; at four fifths
   // what still runs is broken off, and the rest is for streams to finish.
@@ -157,23 +157,23 @@
 }
 
 void entry_app::Answer(const answer_failed& answer) {
-  const failure& f = answer.why;
+  const failure& f = answer.error;
   http_response response;
-  response.status = HttpStatus(f.why);
+  response.status = HttpStatus(f.cause);
   response.retry_after_s = CeilSeconds(f.retry_after_ms);
   response.body = Dump({{"job", ToText(answer.job)},
                         {"state", "failed"},
-                        {"verdict", ToText(f.what)},
-                        {"reason", ToText(f.why)},
+                        {"verdict", ToText(f.run_verdict)},
+                        {"reason", ToText(f.cause)},
                         {"message", f.message},
                         {"retry_after_ms", f.retry_after_ms}});
   http_->Answer(answer.ticket, response);
 }
 
-void entry_app::Ask(const ask_owner& ask) {
+void entry_app::Ask(const owner_query& ask) {
   http_call call;
   call.url = "http://" + ask.owner + "/internal/claims/" +
-             ToHex(ask.owner_life.value) + "/" + ToHex(ask.nonce);
+             ToHex(ask.owner_incarnation.value) + "/" + ToHex(ask.nonce);
   call.headers = {"Authorization: Bearer " + settings_.admin_token};
   call.timeout_ms = 1000;
   http_client_.Start(std::move(call),
@@ -202,7 +202,7 @@
                        bool ok, std::vector<std::optional<table_row>> rows) {
                      loop_.Post(read_reply{id, ok, std::move(rows)});
                    });
-  } else if (auto* ask = std::get_if<ask_owner>(&action)) {
+  } else if (auto* ask = std::get_if<owner_query>(&action)) {
     Ask(*ask);
   }
 }
@@ -225,7 +225,7 @@
     links_->Close(close->link);
   } else if (auto* adopted = std::get_if<config_adopted>(&action)) {
     AdoptDocument(adopted->document);
-  } else if (auto* closings = std::get_if<closings_adopted>(&action)) {
+  } else if (auto* closings = std::get_if<closed_domains_adopted>(&action)) {
     AdoptClosings(*closings);
   } else if (auto* claim = std::get_if<claim_action>(&action)) {
     ActClaim(*claim);
--- a/src/apps/entry_app.h
+++ b/src/apps/entry_app.h
@@ -160,14 +160,14 @@
                    std::set<std::string> domains);
   void TakeClosingsRow(const table_row& row);
   void TakePeerClosings(const nlohmann::json& told);
-  void AdoptClosings(const closings_adopted& adopted);
+  void AdoptClosings(const closed_domains_adopted& adopted);
 
   bool MayStop();
 
   // Actions (entry_app.cc); on the control thread.
   void Act(entry_action& action);
   void ActClaim(claim_action& action);
-  void Ask(const ask_owner& ask);
+  void Ask(const owner_query& ask);
   void Answer(const answer_complete& answer);
   void Answer(const answer_failed& answer);
 
@@ -182,7 +182,7 @@
   std::unique_ptr<http_server> ready_server_;
   row_store store_;
   std::unique_ptr<row_watch> config_watch_;  // control thread only
-  domain_closings closings_read_;            // too; from the operator's rows
+  closed_domains closings_read_;             // too; from the operator's rows
   micros last_tick_{0};                      // control thread only
   micros next_look_at_callers_{0};           // control thread only
   bool store_connected_ = false;             // control thread only
@@ -197,7 +197,7 @@
 
   std::mutex mutex_;                       // guards what follows
   config_document document_;               // newest known to any thread
-  domain_closings closings_;               // in force
+  closed_domains closings_;                // in force
   std::map<std::string, peer_row> peers_;  // by HTTP address
   int first_round_open_ = 1;               // sources not yet heard at the start
   bool first_round_done_ = false;
--- a/src/apps/entry_closings.cc
+++ b/src/apps/entry_closings.cc
@@ -37,17 +37,17 @@
 }
 
 // No row yet: nothing was ever closed. Empty: the row can't be read.
-std::optional<domain_closings> ReadRow(const std::optional<table_row>& row) {
+std::optional<closed_domains> ReadRow(const std::optional<table_row>& row) {
   if (!row)
-    return domain_closings();
+    return closed_domains();
   const json value = json::parse(row->value, nullptr, false);
   if (!value.is_object() || !value.contains("closed"))
     return std::nullopt;
-  return domain_closings{closings_version{row->version},
-                         ReadNames(value["closed"])};
+  return closed_domains{closed_domains_version{row->version},
+                        ReadNames(value["closed"])};
 }
 
-json ToJson(const domain_closings& closings) {
+json ToJson(const closed_domains& closings) {
   return {{"version", closings.version.value}, {"closed", closings.domains}};
 }
 
@@ -60,7 +60,7 @@
       return;
   }
   if (auto read = ReadRow(row))
-    loop_.Post(closings_read{std::move(*read)});
+    loop_.Post(closed_domains_read{std::move(*read)});
   else
     LogEvent(kPart, "closings unreadable", {{"row_version", row.version}});
 }
@@ -111,7 +111,7 @@
                           bool ok, std::vector<std::optional<table_row>> rows) {
         const verdict so_far =
             tries_left == kTries ? verdict::not_run : verdict::may_have_run;
-        const std::optional<domain_closings> now =
+        const std::optional<closed_domains> now =
             ok && rows.size() == 1 ? ReadRow(rows[0]) : std::nullopt;
         if (!now) {
           Refuse(ticket, {so_far, reason::platform_unavailable,
@@ -158,16 +158,16 @@
 // ---- [3] Other entries ------------------------------------------------------
 
 // The control thread has taken a newer state.
-void entry_app::AdoptClosings(const closings_adopted& adopted) {
+void entry_app::AdoptClosings(const closed_domains_adopted& adopted) {
   {
     const std::lock_guard lock(mutex_);
-    closings_ = adopted.closings;
+    closings_ = adopted.closed_set;
   }
   if (!adopted.changed)
     return;
   LogEvent(kPart, "failure domains closed",
-           {{"domains", ToText(adopted.closings)},
-            {"version", adopted.closings.version.value}});
+           {{"domains", ToText(adopted.closed_set)},
+            {"version", adopted.closed_set.version.value}});
   if (!HasLeasedJobs())
     GreetPeers();
 }
@@ -175,9 +175,9 @@
 void entry_app::TakePeerClosings(const json& told) {
   if (!told.is_object())
     return;
-  const closings_version version{told.value("version", uint64_t{0})};
-  loop_.Post(
-      closings_told{{version, ReadNames(told.value("domains", json()))}});
+  const closed_domains_version version{told.value("version", uint64_t{0})};
+  loop_.Post(closed_domains_received{
+      {version, ReadNames(told.value("domains", json()))}});
 }
 
 }  // namespace cassiaferry
--- a/src/apps/entry_durable.cc
+++ b/src/apps/entry_durable.cc
@@ -77,8 +77,8 @@
   step.expected_ms = j.value("expected_ms", int64_t{0});
   step.after = j.value("after", std::vector<uint32_t>());
   step.label = j.value("label", "");
-  step.near = j.value("near", "");
-  step.most_per_worker = j.value("most_per_worker", 0u);
+  step.preferred_label = j.value("near", "");
+  step.max_per_worker = j.value("most_per_worker", 0u);
   return step;
 }
 
@@ -96,8 +96,8 @@
 
 json FailureJson(const failure& f) {
   return {{"state", "failed"},
-          {"verdict", ToText(f.what)},
-          {"reason", ToText(f.why)},
+          {"verdict", ToText(f.run_verdict)},
+          {"reason", ToText(f.cause)},
           {"message", f.message},
           {"retry_after_ms", f.retry_after_ms}};
 }
@@ -137,7 +137,7 @@
   loop_.Call([this, ticket, id] {
     const json known = ExplainLeasedJob(state_, Now(), id);
     if (known.is_null())
-      loop_.Post(leased_job_asked{ticket, id});
+      loop_.Post(leased_job_queried{ticket, id});
     else
       ReplyJson(ticket, 200, known);
   });
@@ -146,13 +146,13 @@
 // ---- [3] Answers ------------------------------------------------------------
 
 void entry_app::AnswerDurable(const answer_leased_job& answer) {
-  const failure& f = answer.why;
+  const failure& f = answer.error;
   if (answer.outcome != leased_outcome::refused) {
     ReplyJson(answer.ticket, 200, {{"state", ToText(answer.outcome)}});
     return;
   }
   http_response response;
-  response.status = HttpStatus(f.why);
+  response.status = HttpStatus(f.cause);
   response.retry_after_s = (f.retry_after_ms + 999) / 1000;
   response.body =
       FailureJson(f).dump(-1, ' ', false, json::error_handler_t::replace);
--- a/src/apps/entry_http.cc
+++ b/src/apps/entry_http.cc
@@ -39,11 +39,11 @@
 
 // For requests whose body could not be read, and for those that are no jobs.
 void entry_app::Refuse(ticket_id ticket, const failure& f) {
-  loop_.Call([this, why = f.why] { state_.metrics.Refused(why); });
-  ReplyJson(ticket, HttpStatus(f.why),
+  loop_.Call([this, why = f.cause] { state_.metrics.CountRefusal(why); });
+  ReplyJson(ticket, HttpStatus(f.cause),
             {{"state", "failed"},
-             {"verdict", ToText(f.what)},
-             {"reason", ToText(f.why)},
+             {"verdict", ToText(f.run_verdict)},
+             {"reason", ToText(f.cause)},
              {"message", f.message},
              {"retry_after_ms", f.retry_after_ms}});
 }
@@ -192,7 +192,7 @@
       http_response response;
       response.content_type = "text/plain; version=0.0.4";
       response.body = PrometheusText(state_.metrics, state_.policies);
-      response.body += ClosingsPrometheusText(state_.closings);
+      response.body += ClosedDomainsPrometheusText(state_.closed_domains);
       if (HasLeasedJobs())
         response.body += LeasedPrometheusText(state_.leased);
       http_->Answer(ticket, response);
--- a/src/apps/entry_leased.cc
+++ b/src/apps/entry_leased.cc
@@ -88,7 +88,7 @@
     state_.leased.options = state_.options.leased;
     LogEvent(kPart, "settings reloaded",
              {{"lease_ms", ToMillis(state_.options.leased.bounds.lease)},
-              {"vouch_ms", ToMillis(state_.options.leased.bounds.vouch)},
+              {"vouch_ms", ToMillis(state_.options.leased.bounds.owner_lease)},
               {"stop_grace_ms", settings.stop_grace_ms}});
   });
 }
@@ -98,7 +98,7 @@
            {{"entry", settings_.name},
             {"incarnation", ToHex(state_.options.self.value)},
             {"lease_ms", ToMillis(state_.options.leased.bounds.lease)},
-            {"vouch_ms", ToMillis(state_.options.leased.bounds.vouch)}});
+            {"vouch_ms", ToMillis(state_.options.leased.bounds.owner_lease)}});
 }
 
 // ---- [2] Callers ------------------------------------------------------------
@@ -117,7 +117,7 @@
     AnswerCaller(r.ticket, platform::NoQueueResponse());
     return;
   }
-  const platform::caller_call call = platform::ReadCall(r, *queue);
+  const platform::caller_request call = platform::ReadCallerRequest(r, *queue);
   switch (call.verb) {
     case platform::caller_verb::submit:
       SubmitCall(r, *queue);
@@ -126,7 +126,7 @@
       loop_.Post(leased_job_cancelled{r.ticket, call.job_id});
       return;
     case platform::caller_verb::state:
-      loop_.Post(leased_job_asked{r.ticket, call.job_id});
+      loop_.Post(leased_job_queried{r.ticket, call.job_id});
       return;
     case platform::caller_verb::count:
       // Until the other entries' rows are read, theirs are not known.
@@ -151,7 +151,7 @@
     AnswerCaller(r.ticket, platform::BadRequestResponse(error));
     return;
   }
-  event.request.id = platform::ReadCall(r, queue).job_id;
+  event.request.id = platform::ReadCallerRequest(r, queue).job_id;
   event.request.queue = queue.name;
   // Failure guarded against: this process stood still, or has little processor
   // time, and starts a job whose caller has left and sent it again elsewhere;
@@ -182,22 +182,22 @@
 }
 
 void entry_app::TakeOperatorRows(const rows_reply& reply, bool whole) {
-  std::vector<domain_word> words;
+  std::vector<domain_status_row> words;
   for (const stored_row& row : reply.rows) {
     TakeConfigRow(row);
-    const std::optional<domain_word> word = platform::ReadDomainRow(row);
+    const std::optional<domain_status_row> word = platform::ReadDomainRow(row);
     if (!word)
       continue;
-    if (word->word == closing_word::unreadable)
+    if (word->status == domain_status::unreadable)
       LogEvent(kPart, "closing unreadable",
                {{"domain", word->domain}, {"row_version", row.version}});
     words.push_back(*word);
   }
   if (!whole && words.empty())
     return;
-  closings_read_ = ReadClosings(closings_read_, words, whole,
-                                closings_version{reply.version});
-  loop_.Post(closings_read{closings_read_});
+  closings_read_ = ClosedDomainsFromRows(closings_read_, words, whole,
+                                         closed_domains_version{reply.version});
+  loop_.Post(closed_domains_read{closings_read_});
 }
 
 void entry_app::CallStore(const store_call& call) {
@@ -227,7 +227,7 @@
 
 void entry_app::TickLeased() {
   const micros now = Now();
-  NoteLoopWait(state_.leased.late, loop_.Waited());
+  RecordLoopWait(state_.leased.late, loop_.Waited());
   config_watch_->Tick(now);
   if (!address_published_ && !publishing_ && now >= next_publish_)
     PublishAddress();
--- a/src/apps/sidecar_main.cc
+++ b/src/apps/sidecar_main.cc
@@ -71,15 +71,15 @@
 void ReadLeaseOptions(const json& settings, sidecar_options& o) {
   if (!settings.contains("worker"))
     return;
-  o.keeps_leases = true;
-  o.keeper.bounds =
+  o.manages_leases = true;
+  o.lease_manager.bounds =
       BoundsFor(Millis(settings.value("lease_max_ms", int64_t{1000})),
                 Millis(settings.value("resend_after_ms", int64_t{1300})));
   // A later process has a later base. Should the clock have gone back, the
   // worker's refusals raise the fence.
-  o.keeper.first_fence = static_cast<uint64_t>(WallMillis());
-  o.keeper.keeps_ends = settings.contains("store");
-  o.timing = TimingFor(o.keeper.bounds);
+  o.lease_manager.first_fence = static_cast<uint64_t>(WallMillis());
+  o.lease_manager.holds_unknown_ends = settings.contains("store");
+  o.timing = TimingFor(o.lease_manager.bounds);
   o.redial = Millis(100);
   o.drain_grace =
       Millis(static_cast<int64_t>(settings.value("stop_grace_s", 6.0) * 600));
@@ -128,7 +128,7 @@
   void RunTask(const run_task& run);
   void StopTask(const stop_task& stop);
   bool TakeAnnouncement(const http_request& request);
-  void CallWorker(const keeper_action& action);
+  void CallWorker(const lease_manager_action& action);
   void WatchDirectory(const std::string& store);
   void TakeDirectoryRow(const stored_row& row);
 
@@ -184,12 +184,13 @@
     return;
   }
   loop_.Call([this, settings] {
-    const uint64_t fence = state_.keeper.options.first_fence;
+    const uint64_t fence = state_.lease_manager.options.first_fence;
     ReadLeaseOptions(settings, state_.options);
-    state_.options.keeper.first_fence = fence;
-    state_.keeper.options = state_.options.keeper;
-    LogEvent("sidecar", "settings reloaded",
-             {{"lease_ms", ToMillis(state_.keeper.options.bounds.lease)}});
+    state_.options.lease_manager.first_fence = fence;
+    state_.lease_manager.options = state_.options.lease_manager;
+    LogEvent(
+        "sidecar", "settings reloaded",
+        {{"lease_ms", ToMillis(state_.lease_manager.options.bounds.lease)}});
   });
 }
 
@@ -261,8 +262,8 @@
         {"free_slots", FreeSlots(state_)},
         {"queued", state_.queue.size()},
         {"config_version", state_.config.version.value},
-        {"closed_domains", state_.closings.known.domains},
-        {"closed_domains_version", state_.closings.known.version.value},
+        {"closed_domains", state_.closed_domains.known.domains},
+        {"closed_domains_version", state_.closed_domains.known.version.value},
         {"entries", std::move(entries)}};
     Reply(ticket, 200, status.dump());
   });
@@ -272,9 +273,9 @@
   loop_.Call([this, ticket] {
     state_.metrics.bytes_sent = links_.BytesSent();
     std::string text = PrometheusText(state_.metrics, {});
-    text += ClosingsPrometheusText(state_.closings);
-    if (state_.options.keeps_leases)
-      text += KeeperPrometheusText(state_.keeper, Now());
+    text += ClosedDomainsPrometheusText(state_.closed_domains);
+    if (state_.options.manages_leases)
+      text += LeaseManagerPrometheusText(state_.lease_manager, Now());
     Reply(ticket, 200, text, "text/plain; version=0.0.4");
   });
 }
@@ -294,7 +295,7 @@
 }
 
 void sidecar_app::OnRequest(const http_request& r) {
-  if (state_.options.keeps_leases && TakeAnnouncement(r))
+  if (state_.options.manages_leases && TakeAnnouncement(r))
     return;
   constexpr std::string_view kUpstreams = "/v1/upstreams/";
   const bool is_upstream =
@@ -323,13 +324,13 @@
   task_finished f{run.entry, run.task, verdict::ran, false,
                   std::move(reply.body)};
   if (!reply.sent) {
-    f.what = verdict::not_run;
+    f.run_verdict = verdict::not_run;
     f.output = reply.error;
   } else if (!reply.answered) {
-    f.what = verdict::may_have_run;
+    f.run_verdict = verdict::may_have_run;
     f.output = "the exchange with the upstream broke: " + reply.error;
   } else if (reply.status == 503 && reply.not_run) {
-    f.what = verdict::not_run;
+    f.run_verdict = verdict::not_run;
   } else {
     f.ok = reply.status == 200;
   }
@@ -360,13 +361,14 @@
   calls_.erase(it);
 }
 
-void sidecar_app::CallWorker(const keeper_action& action) {
-  if (const auto* note = std::get_if<keeper_note>(&action)) {
+void sidecar_app::CallWorker(const lease_manager_action& action) {
+  if (const auto* note = std::get_if<lease_manager_log>(&action)) {
     LogEvent("sidecar", note->what, {{"why", note->detail}});
     return;
   }
-  platform::CallWorker(worker_http_, worker_address_, action,
-                       [this](keeper_event e) { loop_.Post(std::move(e)); });
+  platform::CallWorker(
+      worker_http_, worker_address_, action,
+      [this](lease_manager_event e) { loop_.Post(std::move(e)); });
 }
 
 void sidecar_app::TakeDirectoryRow(const stored_row& row) {
@@ -404,7 +406,7 @@
     links_.Dial(dial->link, dial->address, dial->epoch);
   else if (auto* hang = std::get_if<hang_up>(&action))
     links_.HangUp(hang->link, hang->epoch);
-  else if (auto* call = std::get_if<keeper_action>(&action))
+  else if (auto* call = std::get_if<lease_manager_action>(&action))
     CallWorker(*call);
   else
     drained_ = true;
@@ -422,7 +424,7 @@
       directory_->Tick(Now());
     for (sidecar_action& action : Tick(state_, Now(), std::move(events)))
       Act(action);
-    if (!state_.keeper.waiting.empty())
+    if (!state_.lease_manager.waiting_starts.empty())
       loop_.TickWithin(kWaitingTick);
     if (drained_)
       loop_.Stop();
--- a/src/core/claims.cc
+++ b/src/core/claims.cc
@@ -24,7 +24,7 @@
   return json{{"nonce", row.nonce},
               {"digest", row.digest},
               {"owner", row.owner},
-              {"owner_life", row.owner_life.value},
+              {"owner_life", row.owner_incarnation.value},
               {"done", row.done},
               {"outcome", row.outcome},
               {"expires_ms", row.expires_ms}}
@@ -38,7 +38,7 @@
     row.nonce = j.at("nonce");
     row.digest = j.at("digest");
     row.owner = j.at("owner");
-    row.owner_life = incarnation{j.at("owner_life").get<uint64_t>()};
+    row.owner_incarnation = incarnation{j.at("owner_life").get<uint64_t>()};
     row.done = j.at("done");
     row.outcome = j.at("outcome");
     row.expires_ms = j.at("expires_ms");
@@ -101,12 +101,12 @@
 
 void Deny(claims_state& c, uint64_t nonce, reason why, verdict what) {
   claim_decision d;
-  d.why = why;
-  d.what = what;
+  d.cause = why;
+  d.run_verdict = what;
   Deny(c, nonce, std::move(d));
 }
 
-void Retry(claim& k, micros now) {
+void ScheduleRetry(claim& k, micros now) {
   k.retry_at =
       now + Millis(kFirstRetryMs << std::min(k.attempts, kMaxDoublings));
   ++k.attempts;
@@ -114,7 +114,7 @@
 
 // ---- [3] Another's row ------------------------------------------------------
 
-void JudgeOwner(claims_state& c, uint64_t nonce, nonce_state state) {
+void ResolveOwnerState(claims_state& c, uint64_t nonce, nonce_state state) {
   claim& k = c.claims.at(nonce);
   switch (state) {
     case nonce_state::abandoned:
@@ -131,7 +131,7 @@
 
 // Someone's claim stands in the table. Done: repeat its outcome. Running: say
 // so. Given up: take it over, but only on its owner's word.
-void ConsiderRow(claims_state& c, uint64_t nonce, const table_row& row) {
+void HandleExistingRow(claims_state& c, uint64_t nonce, const table_row& row) {
   claim& k = c.claims.at(nonce);
   const std::optional<claim_row> other = ReadClaim(row.value);
   if (!other) {
@@ -153,9 +153,9 @@
     return;
   }
   k.seen = row;
-  k.phase = claim_phase::asking_owner;
-  if (other->owner_life == c.self)
-    JudgeOwner(c, nonce, StateOfNonce(c, other->nonce));
+  k.phase = claim_phase::querying_owner;
+  if (other->owner_incarnation == c.self)
+    ResolveOwnerState(c, nonce, StateOfNonce(c, other->nonce));
 }
 
 // ---- [4] Replies of the table -----------------------------------------------
@@ -165,7 +165,7 @@
   const claim& k = it->second;
   if (k.phase == claim_phase::writing_done) {
     const uint64_t version = result.row ? result.row->version : k.version + 1;
-    c.sweep.push_back({k.row_key, version, k.row.expires_ms});
+    c.expiring_rows.push_back({k.row_key, version, k.row.expires_ms});
   } else {
     RememberAbandoned(c, nonce);
   }
@@ -188,13 +188,13 @@
     return;
   }
   k.version = result.row->version;
-  Retry(k, now);
+  ScheduleRetry(k, now);
 }
 
-void TakeResult(claims_state& c,
-                micros now,
-                uint64_t nonce,
-                const table_result& result) {
+void HandleResult(claims_state& c,
+                  micros now,
+                  uint64_t nonce,
+                  const table_result& result) {
   claim& k = c.claims.at(nonce);
   switch (k.phase) {
     case claim_phase::inserting:
@@ -202,7 +202,7 @@
       if (result.applied)
         Grant(c, k, result.row ? result.row->version : 1);
       else if (result.row)
-        ConsiderRow(c, nonce, *result.row);
+        HandleExistingRow(c, nonce, *result.row);
       else
         k.phase = claim_phase::inserting;
       return;
@@ -218,15 +218,15 @@
   }
 }
 
-void LoseReply(claims_state& c, micros now, uint64_t nonce) {
+void HandleLostReply(claims_state& c, micros now, uint64_t nonce) {
   claim& k = c.claims.at(nonce);
   if (k.phase == claim_phase::inserting || k.phase == claim_phase::taking_over)
     k.phase = claim_phase::reading_back;
   else
-    Retry(k, now);
+    ScheduleRetry(k, now);
 }
 
-std::vector<uint64_t> TakeCall(claims_state& c, call_id call) {
+std::vector<uint64_t> CloseCall(claims_state& c, call_id call) {
   const auto it = c.calls.find(call.value);
   if (it == c.calls.end())
     return {};
@@ -242,18 +242,18 @@
 
 }  // namespace
 
-void OnTransaction(claims_state& c,
-                   micros now,
-                   const transaction_reply& reply) {
-  const std::vector<uint64_t> nonces = TakeCall(c, reply.call);
+void OnTransactionReply(claims_state& c,
+                        micros now,
+                        const transaction_reply& reply) {
+  const std::vector<uint64_t> nonces = CloseCall(c, reply.call);
   c.transaction_open = false;
   for (size_t i = 0; i < nonces.size(); ++i) {
     if (c.claims.count(nonces[i]) == 0)
       continue;
     if (reply.answered && i < reply.results.size())
-      TakeResult(c, now, nonces[i], reply.results[i]);
+      HandleResult(c, now, nonces[i], reply.results[i]);
     else
-      LoseReply(c, now, nonces[i]);
+      HandleLostReply(c, now, nonces[i]);
   }
 }
 
@@ -261,13 +261,13 @@
 // effect. The row's nonce says whose it is. An absent row proves nothing, for
 // the write may still arrive: nothing was started, so the job is refused as
 // not_run, and the nonce is remembered as abandoned.
-void OnRead(claims_state& c, micros, const read_reply& reply) {
-  const std::vector<uint64_t> nonces = TakeCall(c, reply.call);
+void OnReadReply(claims_state& c, micros, const read_reply& reply) {
+  const std::vector<uint64_t> nonces = CloseCall(c, reply.call);
   for (size_t i = 0; i < nonces.size(); ++i) {
     if (c.claims.count(nonces[i]) == 0)
       continue;
     if (reply.answered && i < reply.rows.size() && reply.rows[i])
-      ConsiderRow(c, nonces[i], *reply.rows[i]);
+      HandleExistingRow(c, nonces[i], *reply.rows[i]);
     else
       Deny(c, nonces[i], reason::platform_unavailable, verdict::not_run);
   }
@@ -275,10 +275,11 @@
 
 // ---- [5] Replies of owners --------------------------------------------------
 
-void OnOwner(claims_state& c, micros, const owner_reply& reply) {
-  for (uint64_t nonce : TakeCall(c, reply.call)) {
+void OnOwnerReply(claims_state& c, micros, const owner_reply& reply) {
+  for (uint64_t nonce : CloseCall(c, reply.call)) {
     if (c.claims.count(nonce) != 0)
-      JudgeOwner(c, nonce, reply.answered ? reply.state : nonce_state::unknown);
+      ResolveOwnerState(c, nonce,
+                        reply.answered ? reply.state : nonce_state::unknown);
   }
 }
 
@@ -307,7 +308,7 @@
   k.row.nonce = nonce;
   k.row.digest = digest;
   k.row.owner = c.self_address;
-  k.row.owner_life = c.self;
+  k.row.owner_incarnation = c.self;
   k.row.expires_ms = expires_ms;
   c.nonce_of_job[job] = nonce;
   c.claims.emplace(nonce, std::move(k));
@@ -344,7 +345,7 @@
     c.claims.erase(nonce);
 }
 
-bool ClaimsSettled(const claims_state& c) {
+bool HasNoOpenClaims(const claims_state& c) {
   return c.claims.empty();
 }
 
@@ -381,12 +382,13 @@
 
 // Expired outcomes go many to a transaction, after the claims' own operations.
 void AddSweeps(claims_state& c, int64_t wall_ms, std::vector<table_op>& ops) {
-  while (!c.sweep.empty() && c.sweep.front().expires_ms <= wall_ms &&
+  while (!c.expiring_rows.empty() &&
+         c.expiring_rows.front().expires_ms <= wall_ms &&
          ops.size() < kMaxOpsPerTransaction) {
-    const swept_row& row = c.sweep.front();
+    const expiring_row& row = c.expiring_rows.front();
     ops.push_back(
         {table_op_kind::delete_if_version, row.row_key, row.version, ""});
-    c.sweep.pop_front();
+    c.expiring_rows.pop_front();
   }
 }
 
@@ -428,15 +430,15 @@
   c.actions.push_back(std::move(read));
 }
 
-void AskOwners(claims_state& c) {
+void QueryOwners(claims_state& c) {
   for (auto& [nonce, k] : c.claims) {
-    if (k.in_call || k.phase != claim_phase::asking_owner)
+    if (k.in_call || k.phase != claim_phase::querying_owner)
       continue;
     const std::optional<claim_row> other = ReadClaim(k.seen.value);
-    ask_owner ask;
+    owner_query ask;
     ask.call = OpenCall(c, {nonce});
     ask.owner = other->owner;
-    ask.owner_life = other->owner_life;
+    ask.owner_incarnation = other->owner_incarnation;
     ask.nonce = other->nonce;
     c.actions.push_back(std::move(ask));
   }
@@ -446,7 +448,7 @@
 
 void TickClaims(claims_state& c, micros now, int64_t wall_ms) {
   OpenReads(c);
-  AskOwners(c);
+  QueryOwners(c);
   OpenTransaction(c, now, wall_ms);
 }
 
--- a/src/core/closings.cc
+++ b/src/core/closed_domains.cc
@@ -1,6 +1,6 @@
 // Failure domains that are closed for new work.
 
-#include "cassiaferry/closings.h"
+#include "cassiaferry/closed_domains.h"
 
 #include <utility>
 
@@ -10,7 +10,7 @@
 
 namespace {
 
-bool Adopt(closings_state& s, const domain_closings& newer) {
+bool Adopt(closed_domains_state& s, const closed_domains& newer) {
   const bool changed = s.known.domains != newer.domains;
   s.known = newer;
   return changed;
@@ -18,16 +18,17 @@
 
 }  // namespace
 
-domain_closings ReadClosings(const domain_closings& before,
-                             const std::vector<domain_word>& words,
-                             bool whole,
-                             closings_version version) {
-  domain_closings read{version,
-                       whole ? std::set<std::string>() : before.domains};
-  for (const domain_word& w : words) {
+closed_domains ClosedDomainsFromRows(
+    const closed_domains& before,
+    const std::vector<domain_status_row>& words,
+    bool whole,
+    closed_domains_version version) {
+  closed_domains read{version,
+                      whole ? std::set<std::string>() : before.domains};
+  for (const domain_status_row& w : words) {
     const bool was_closed = before.domains.count(w.domain) != 0;
-    if (w.word == closing_word::closed ||
-        (w.word == closing_word::unreadable && was_closed))
+    if (w.status == domain_status::closed ||
+        (w.status == domain_status::unreadable && was_closed))
       read.domains.insert(w.domain);
     else
       read.domains.erase(w.domain);
@@ -37,7 +38,8 @@
 
 // A state that is what was known already keeps its number: told anew by each
 // process that starts, it would travel to all others for nothing.
-bool TakeReadClosings(closings_state& s, domain_closings read) {
+bool UpdateClosedDomainsFromStore(closed_domains_state& s,
+                                  closed_domains read) {
   if (read.version < s.read.version)
     return false;
   s.read = std::move(read);
@@ -45,7 +47,8 @@
   return newer && s.read.domains != s.known.domains && Adopt(s, s.read);
 }
 
-bool TakeToldClosings(closings_state& s, const domain_closings& told) {
+bool UpdateClosedDomainsFromPeer(closed_domains_state& s,
+                                 const closed_domains& told) {
   if (told.version <= s.known.version)
     return false;
   const bool outdated =
@@ -53,18 +56,18 @@
   return Adopt(s, outdated ? s.read : told);
 }
 
-bool IsClosed(const closings_state& s, const std::string& domain) {
+bool IsClosed(const closed_domains_state& s, const std::string& domain) {
   return s.known.domains.count(domain) != 0;
 }
 
-std::string ToText(const domain_closings& closings) {
+std::string ToText(const closed_domains& closings) {
   std::string text;
   for (const std::string& domain : closings.domains)
     text += (text.empty() ? "" : " ") + domain;
   return text.empty() ? "none" : text;
 }
 
-std::string ClosingsPrometheusText(const closings_state& s) {
+std::string ClosedDomainsPrometheusText(const closed_domains_state& s) {
   std::string out;
   AppendMetric(out, "cassiaferry_closings_version", "",
                static_cast<double>(s.known.version.value));
--- a/src/core/pack.cc
+++ b/src/core/compression.cc
@@ -1,6 +1,6 @@
 // Compression, by zlib.
 
-#include "cassiaferry/pack.h"
+#include "cassiaferry/compression.h"
 
 #include <zlib.h>
 
@@ -14,8 +14,8 @@
 // goes with it, are soon set up. Raw deflate: TCP has checked the bytes.
 constexpr int kWindowBits = -12;
 constexpr int kMemoryLevel = 5;
-constexpr int kUnpackWindowBits = -15;
-constexpr size_t kFirstGuess = 4096;  // bytes, of what unpacks
+constexpr int kInflateWindowBits = -15;
+constexpr size_t kInitialOutputBytes = 4096;  // bytes, of what unpacks
 
 // One for each thread, set up once: setting up takes as long as packing 1 kB.
 struct deflater {
@@ -31,7 +31,7 @@
 };
 
 struct inflater {
-  inflater() { ok = inflateInit2(&z, kUnpackWindowBits) == Z_OK; }
+  inflater() { ok = inflateInit2(&z, kInflateWindowBits) == Z_OK; }
   inflater(const inflater&) = delete;
   inflater& operator=(const inflater&) = delete;
   ~inflater() { inflateEnd(&z); }
@@ -46,7 +46,7 @@
 
 }  // namespace
 
-std::string Pack(const std::string& text) {
+std::string Compress(const std::string& text) {
   thread_local deflater d;
   if (!d.ok || deflateReset(&d.z) != Z_OK)
     throw std::bad_alloc();
@@ -60,13 +60,13 @@
   return packed;
 }
 
-std::optional<std::string> Unpack(const std::string& packed) {
+std::optional<std::string> Decompress(const std::string& packed) {
   thread_local inflater i;
   if (!i.ok || inflateReset(&i.z) != Z_OK)
     throw std::bad_alloc();
   i.z.next_in = InputOf(packed);
   i.z.avail_in = static_cast<uInt>(packed.size());
-  std::string text(kFirstGuess, '\0');
+  std::string text(kInitialOutputBytes, '\0');
   size_t filled = 0;
   for (;;) {
     i.z.next_out = reinterpret_cast<Bytef*>(text.data() + filled);
@@ -76,7 +76,7 @@
     if (state == Z_STREAM_END)
       break;
     const bool wants_space = state == Z_OK && i.z.avail_out == 0;
-    if (!wants_space || text.size() >= kMostUnpackedBytes)
+    if (!wants_space || text.size() >= kMaxDecompressedBytes)
       return std::nullopt;
     text.resize(text.size() * 2);
   }
--- a/src/core/config.cc
+++ b/src/core/config.cc
@@ -447,8 +447,9 @@
 namespace {
 
 // Last file that says something at the path or above it, for the error's sake.
-std::string FileOf(const std::vector<std::pair<std::string, json>>& files,
-                   std::string path) {
+std::string FindSourceFile(
+    const std::vector<std::pair<std::string, json>>& files,
+    std::string path) {
   for (; !path.empty(); path.resize(path.rfind('/'))) {
     for (auto it = files.rbegin(); it != files.rend(); ++it) {
       if (it->second.contains(json::json_pointer(path)))
@@ -481,8 +482,8 @@
   for (const auto& [name, patch] : parsed)
     merged.document.merge_patch(patch);
   for (const config_error& e : CheckConfig(merged.document, check_scope::whole))
-    merged.errors.push_back(FileOf(parsed, e.path) + ": " + e.path + ": " +
-                            e.message);
+    merged.errors.push_back(FindSourceFile(parsed, e.path) + ": " + e.path +
+                            ": " + e.message);
   return merged;
 }
 
--- a/src/core/durable_adoption.cc
+++ b/src/core/durable_adoption.cc
@@ -27,17 +27,19 @@
 
 namespace {
 
-constexpr micros kReadAgain = Millis(100);  // after a page that was not given
+constexpr micros kPageRetryDelay =
+    Millis(100);  // after a page that was not given
 
 // ---- [1] Who lives ----------------------------------------------------------
 
 // A row that has changed, or is new, is counted from now on. While the store
 // does not answer nobody can renew: what was seen before counts for nothing.
-void SeePeer(durable_state& d, micros now, peer_owner peer) {
+void RecordPeer(durable_state& d, micros now, peer_owner peer) {
   const auto known = d.peers.find(peer.key);
   const bool same =
       known != d.peers.end() && known->second.version == peer.version;
-  peer.since = same && !d.poll_failed ? known->second.since : now;
+  peer.unchanged_since =
+      same && !d.poll_failed ? known->second.unchanged_since : now;
   d.peers[peer.key] = std::move(peer);
 }
 
@@ -45,58 +47,61 @@
 // place on its machine, or it has not renewed for long.
 bool IsGone(const entry_state& s, micros now, const peer_owner& peer) {
   const durable_state& d = s.leased.durable;
-  if (peer.life == d.life || peer.key == d.journal.own.key)
+  if (peer.owner_incarnation == d.owner_incarnation ||
+      peer.key == d.journal.own_row.key)
     return false;
   return peer.released || peer.name == s.options.name ||
-         now - peer.since >= d.options.dead_after;
+         now - peer.unchanged_since >= d.options.dead_after;
 }
 
 // ---- [2] Taking over --------------------------------------------------------
 
-void Log(entry_state& s, const char* what, const adoption& a) {
+void LogAdoption(entry_state& s, const char* what, const adoption& a) {
   s.actions.push_back(leased_decision{
       what, "",
-      "owner " + a.from.name + ", life " + a.from.life + ", row version " +
-          std::to_string(a.from.version) + ", unchanged since ms " +
-          std::to_string(ToMillis(a.started - a.from.since)) +
-          (a.from.released ? ", released" : "") + ", jobs " +
+      "owner " + a.previous_owner.name + ", life " +
+          a.previous_owner.owner_incarnation + ", row version " +
+          std::to_string(a.previous_owner.version) + ", unchanged since ms " +
+          std::to_string(
+              ToMillis(a.started - a.previous_owner.unchanged_since)) +
+          (a.previous_owner.released ? ", released" : "") + ", jobs " +
           std::to_string(a.jobs.size())});
 }
 
-void Begin(entry_state& s, micros now, const peer_owner& peer) {
+void BeginAdoption(entry_state& s, micros now, const peer_owner& peer) {
   durable_state& d = s.leased.durable;
-  d.taking_over.emplace();
-  adoption& a = *d.taking_over;
-  a.from = peer;
+  d.current_adoption.emplace();
+  adoption& a = *d.current_adoption;
+  a.previous_owner = peer;
   a.started = now;
   ++d.counters.adoptions;
-  Log(s, "owner is gone, its jobs are taken over", a);
+  LogAdoption(s, "owner is gone, its jobs are taken over", a);
   row_transaction rows;
   rows.expected = {{{kOwnersTable, peer.key}, peer.version}};
-  rows.sets = {{kOwnersTable, peer.key, ClaimedRow(peer, d.life)}};
+  rows.sets = {{kOwnersTable, peer.key, ClaimedRow(peer, d.owner_incarnation)}};
   WriteRows(d, std::move(rows), {write_purpose::claim_owner, peer.key, {}});
-  a.ops_open = 1;
+  a.open_ops = 1;
 }
 
-void ReadPage(entry_state& s, const char* table) {
-  adoption& a = *s.leased.durable.taking_over;
+void ReadAdoptionPage(entry_state& s, const char* table) {
+  adoption& a = *s.leased.durable.current_adoption;
   a.reading = true;
   ReadRows(s, {table, a.cursor, 0, !a.cursor.empty()},
            {read_purpose::adopt, "", {}, false});
 }
 
-void TakeOverJob(entry_state& s, const stored_row& row) {
+void AdoptJob(entry_state& s, const stored_row& row) {
   durable_state& d = s.leased.durable;
-  adoption& a = *d.taking_over;
-  if (OwnerOf(row.value) != a.from.life)
+  adoption& a = *d.current_adoption;
+  if (OwnerOf(row.value) != a.previous_owner.owner_incarnation)
     return;
   adopted_job& job = a.jobs[row.key];
-  job.value = WithOwner(row.value, d.life);
+  job.value = WithOwner(row.value, d.owner_incarnation);
   row_transaction rows;
   rows.expected = {{{kJobsTable, row.key}, row.version}};
   rows.sets = {{kJobsTable, row.key, job.value}};
   WriteRows(d, std::move(rows), {write_purpose::adopt_job, row.key, {}});
-  ++a.ops_open;
+  ++a.open_ops;
 }
 
 // Runs of the owner before may go on for as long as its sidecars, and the
@@ -116,7 +121,7 @@
   job.durable.stage = durable_stage::stored;
   job.durable.version = adopted.version;
   job.durable.has_progress = true;
-  job.durable.start_from = now + OverAfter(l.options.bounds);
+  job.durable.not_before = now + RunsOverAfter(l.options.bounds);
   MakeTasks(job, FirstRun(job.durable.epoch));
   ReadProgressRow(adopted.progress, job);
   SetBounds(job, now, micros{0}, l.estimates[job.queue.name].ratio);
@@ -136,8 +141,8 @@
 // A job that a caller sends here anew while it is being taken over waits until
 // its insertion has failed.
 void AddAllAdopted(entry_state& s, micros now) {
-  adoption& a = *s.leased.durable.taking_over;
-  s.leased.durable.facts_at = {};  // their count goes with the next write
+  adoption& a = *s.leased.durable.current_adoption;
+  s.leased.durable.own_fields_at = {};  // their count goes with the next write
   std::erase_if(a.jobs, [&](const auto& row) {
     if (!row.second.taken)
       return true;
@@ -148,15 +153,17 @@
   });
 }
 
-void Close(entry_state& s) {
+void RemoveOwnerRow(entry_state& s) {
   durable_state& d = s.leased.durable;
-  adoption& a = *d.taking_over;
+  adoption& a = *d.current_adoption;
   row_transaction rows;
-  rows.expected = {{{kOwnersTable, a.from.key}, a.from.version}};
-  rows.removes = {{kOwnersTable, a.from.key}};
-  WriteRows(d, std::move(rows), {write_purpose::close_owner, a.from.key, {}});
-  a.ops_open = 1;
-  a.stage = adoption_stage::closing;
+  rows.expected = {
+      {{kOwnersTable, a.previous_owner.key}, a.previous_owner.version}};
+  rows.removes = {{kOwnersTable, a.previous_owner.key}};
+  WriteRows(d, std::move(rows),
+            {write_purpose::remove_owner, a.previous_owner.key, {}});
+  a.open_ops = 1;
+  a.stage = adoption_stage::removing_row;
 }
 
 void NextStage(adoption& a, adoption_stage stage) {
@@ -165,29 +172,29 @@
   a.read_all = false;
 }
 
-void Abandon(entry_state& s) {
+void EndAdoption(entry_state& s) {
   durable_state& d = s.leased.durable;
-  d.peers.erase(d.taking_over->from.key);
-  d.taking_over.reset();
+  d.peers.erase(d.current_adoption->previous_owner.key);
+  d.current_adoption.reset();
 }
 
 }  // namespace
 
 // ---- [3] Answers ------------------------------------------------------------
 
-void TakeOwners(entry_state& s, micros now, const rows_reply& reply) {
+void HandleOwnersPage(entry_state& s, micros now, const rows_reply& reply) {
   durable_state& d = s.leased.durable;
   d.polling = false;
   if (reply.status != store_status::ok) {
     d.poll_failed = true;
-    d.next_poll = now + micros{d.options.poll.value / 4};
+    d.next_poll = now + micros{d.options.poll_interval.value / 4};
     return;
   }
   for (const stored_row& row : reply.rows) {
     if (row.key.starts_with(kCancelPrefix))
-      TakeCancelRow(s, now, row.key.substr(sizeof(kCancelPrefix) - 1));
+      HandleCancelRow(s, now, row.key.substr(sizeof(kCancelPrefix) - 1));
     else if (std::optional<peer_owner> peer = ReadOwnerRow(row))
-      SeePeer(d, now, std::move(*peer));
+      RecordPeer(d, now, std::move(*peer));
     d.seen_in_poll.insert(row.key);
   }
   if (reply.more && !reply.rows.empty()) {
@@ -199,33 +206,35 @@
   std::erase_if(d.peers, [&](const auto& row) {
     return d.seen_in_poll.count(row.first) == 0;
   });
-  d.journal.writers = d.peers.count(d.journal.own.key) == 0 ? d.peers.size() + 1
-                                                            : d.peers.size();
+  d.journal.writers = d.peers.count(d.journal.own_row.key) == 0
+                          ? d.peers.size() + 1
+                          : d.peers.size();
   const bool anybody = !d.seen_in_poll.empty();
   d.seen_in_poll.clear();
   d.poll_failed = false;
   d.polled = true;
-  d.next_poll = now + (anybody ? d.options.poll : d.options.idle_poll);
+  d.next_poll =
+      now + (anybody ? d.options.poll_interval : d.options.idle_poll_interval);
 }
 
-void TakeAdoptionPage(entry_state& s, micros now, const rows_reply& reply) {
+void HandleAdoptionPage(entry_state& s, micros now, const rows_reply& reply) {
   durable_state& d = s.leased.durable;
-  if (!d.taking_over)
+  if (!d.current_adoption)
     return;
-  adoption& a = *d.taking_over;
+  adoption& a = *d.current_adoption;
   a.reading = false;
   if (reply.status != store_status::ok) {
-    a.next_read = now + kReadAgain;
+    a.next_read = now + kPageRetryDelay;
     return;
   }
   for (const stored_row& row : reply.rows) {
     if (a.stage == adoption_stage::jobs) {
-      TakeOverJob(s, row);
+      AdoptJob(s, row);
     } else if (a.stage == adoption_stage::progress) {
       const auto job = a.jobs.find(row.key);
       if (job != a.jobs.end())
         job->second.progress = row.value;
-    } else if (SweeperOf(row.value) == a.from.life) {
+    } else if (SweeperOf(row.value) == a.previous_owner.owner_incarnation) {
       if (const std::optional<ended_job> ended = ReadEndedRow(row.value))
         RememberEnded(d, now, row.key,
                       {ended->outcome, ended->epoch, true, false});
@@ -236,23 +245,23 @@
     a.cursor = reply.rows.back().key;
 }
 
-void TakeAdoptionWrite(entry_state& s,
-                       micros now,
-                       const open_write& write,
-                       const journal_result& result) {
+void HandleAdoptionWrite(entry_state& s,
+                         micros now,
+                         const open_write& write,
+                         const journal_result& result) {
   durable_state& d = s.leased.durable;
-  if (!d.taking_over)
+  if (!d.current_adoption)
     return;
-  adoption& a = *d.taking_over;
-  --a.ops_open;
+  adoption& a = *d.current_adoption;
+  --a.open_ops;
   switch (write.purpose) {
     case write_purpose::claim_owner:
       if (!result.done) {  // it lives, or another entry was first
-        Log(s, "owner not taken over, its row has changed", a);
-        Abandon(s);
+        LogAdoption(s, "owner not taken over, its row has changed", a);
+        EndAdoption(s);
         return;
       }
-      a.from.version = result.version;
+      a.previous_owner.version = result.version;
       NextStage(a, adoption_stage::jobs);
       return;
     case write_purpose::adopt_job: {
@@ -262,8 +271,8 @@
       return;
     }
     default:
-      Log(s, "owner's jobs are taken over", a);
-      Abandon(s);
+      LogAdoption(s, "owner's jobs are taken over", a);
+      EndAdoption(s);
       d.next_poll = now;
       return;
   }
@@ -280,24 +289,25 @@
     ReadRows(s, {kOwnersTable, "", 0, false},
              {read_purpose::poll_owners, "", {}, false});
   }
-  if (!d.taking_over) {
+  if (!d.current_adoption) {
     if (s.draining || d.poll_failed || !d.polled)
       return;
     const auto gone = std::find_if(
         d.peers.begin(), d.peers.end(),
         [&](const auto& row) { return IsGone(s, now, row.second); });
     if (gone != d.peers.end())
-      Begin(s, now, gone->second);
+      BeginAdoption(s, now, gone->second);
     return;
   }
-  adoption& a = *d.taking_over;
-  if (a.reading || now < a.next_read || a.ops_open > 0 ||
-      a.stage == adoption_stage::claiming || a.stage == adoption_stage::closing)
+  adoption& a = *d.current_adoption;
+  if (a.reading || now < a.next_read || a.open_ops > 0 ||
+      a.stage == adoption_stage::claiming ||
+      a.stage == adoption_stage::removing_row)
     return;
   if (!a.read_all) {
-    ReadPage(s, a.stage == adoption_stage::jobs       ? kJobsTable
-                : a.stage == adoption_stage::progress ? kProgressTable
-                                                      : kEndedTable);
+    ReadAdoptionPage(s, a.stage == adoption_stage::jobs       ? kJobsTable
+                        : a.stage == adoption_stage::progress ? kProgressTable
+                                                              : kEndedTable);
     return;
   }
   switch (a.stage) {
@@ -312,7 +322,7 @@
         NextStage(a, adoption_stage::ended);
       return;
     default:
-      Close(s);
+      RemoveOwnerRow(s);
       return;
   }
 }
--- a/src/core/durable_callers.cc
+++ b/src/core/durable_callers.cc
@@ -48,31 +48,31 @@
 
 }  // namespace
 
-void AnswerAskers(entry_state& s,
-                  leased_job& job,
-                  leased_job_state state,
-                  bool unavailable) {
-  for (ticket_id ticket : job.durable.askers)
+void AnswerQueries(entry_state& s,
+                   leased_job& job,
+                   leased_job_state state,
+                   bool unavailable) {
+  for (ticket_id ticket : job.durable.query_tickets)
     s.actions.push_back(answer_leased_state{ticket, state, unavailable});
-  job.durable.askers.clear();
+  job.durable.query_tickets.clear();
 }
 
-void AnswerOldQuestions(entry_state& s, micros now) {
-  std::deque<open_question>& questions = s.leased.durable.questions;
-  while (!questions.empty() && questions.front().until <= now) {
+void AnswerOverdueQueries(entry_state& s, micros now) {
+  std::deque<waiting_query>& questions = s.leased.durable.waiting_queries;
+  while (!questions.empty() && questions.front().answer_by <= now) {
     leased_job* job = FindLeasedJob(s.leased, questions.front().id);
     if (job != nullptr &&
-        std::erase(job->durable.askers, questions.front().ticket) != 0)
+        std::erase(job->durable.query_tickets, questions.front().ticket) != 0)
       s.actions.push_back(
           answer_leased_state{questions.front().ticket, StateOf(*job), false});
     questions.pop_front();
   }
 }
 
-void AnswerCancels(entry_state& s, leased_job& job, bool known) {
-  for (ticket_id ticket : job.durable.cancels)
+void AnswerCancelRequests(entry_state& s, leased_job& job, bool known) {
+  for (ticket_id ticket : job.durable.cancel_tickets)
     s.actions.push_back(answer_cancelled{ticket, known, false});
-  job.durable.cancels.clear();
+  job.durable.cancel_tickets.clear();
 }
 
 // ---- [2] Questions ----------------------------------------------------------
@@ -85,26 +85,26 @@
            {read_purpose::find_ended, id, ticket, cancels});
 }
 
-void LookUpStranger(entry_state& s, micros now, const std::string& id) {
+void LookUpForeignJob(entry_state& s, micros now, const std::string& id) {
   constexpr micros kAskAgain = Millis(1000);
-  stranger& row = s.leased.durable.strangers[id];
-  if (now < row.ask_again)
+  foreign_job& row = s.leased.durable.foreign_jobs[id];
+  if (now < row.next_lookup_at)
     return;
-  row.ask_again = now + kAskAgain;
+  row.next_lookup_at = now + kAskAgain;
   ReadRows(s, {kJobsTable, id, 1, false},
-           {read_purpose::find_stray, id, {}, false});
+           {read_purpose::find_orphan_job, id, {}, false});
 }
 
-void TellLeasedState(entry_state& s,
-                     micros now,
-                     ticket_id ticket,
-                     const std::string& id) {
+void AnswerLeasedState(entry_state& s,
+                       micros now,
+                       ticket_id ticket,
+                       const std::string& id) {
   durable_state& d = s.leased.durable;
   leased_job* job = FindLeasedJob(s.leased, id);
   const auto ended = d.ended.find(id);
   if (job != nullptr && MayEndSoon(*job)) {
-    job->durable.askers.push_back(ticket);
-    d.questions.push_back({now + d.options.answer_within, ticket, id});
+    job->durable.query_tickets.push_back(ticket);
+    d.waiting_queries.push_back({now + d.options.max_answer_delay, ticket, id});
   } else if (job != nullptr && job->durable.stage != durable_stage::accepting) {
     s.actions.push_back(answer_leased_state{ticket, StateOf(*job), false});
   } else if (ended != d.ended.end()) {
@@ -129,7 +129,7 @@
              {verdict::may_have_run, reason::cancelled, "cancelled", 0});
     s.actions.push_back(answer_cancelled{ticket, true, false});
   } else if (job != nullptr) {
-    job->durable.cancels.push_back(ticket);
+    job->durable.cancel_tickets.push_back(ticket);
     if (job->durable.stage == durable_stage::stored)
       EndDurableJob(s, *job, leased_outcome::cancelled);
   } else if (d.ended.count(id) != 0 || !d.options.enabled) {
@@ -147,7 +147,7 @@
                   const open_read& read,
                   leased_job_state state,
                   bool unavailable) {
-  if (read.cancels)
+  if (read.is_cancel)
     s.actions.push_back(answer_cancelled{read.ticket, false, unavailable});
   else
     s.actions.push_back(answer_leased_state{read.ticket, state, unavailable});
@@ -165,15 +165,16 @@
   rows.removes = {{kJobsTable, read.id}, {kProgressTable, read.id}};
   const uint32_t epoch = EpochOf(row.value);
   rows.sets = {{kEndedTable, read.id,
-                EndedRow({leased_outcome::cancelled, epoch}, d.life,
-                         OwnerOf(row.value))},
+                EndedRow({leased_outcome::cancelled, epoch},
+                         d.owner_incarnation, OwnerOf(row.value))},
                {kOwnersTable, kCancelPrefix + read.id, "{}"}};
   WriteRows(d, std::move(rows),
             {write_purpose::cancel_elsewhere, read.id, read.ticket});
-  d.needed_until = std::max(d.needed_until, now + d.options.keep_cancel);
+  d.own_row_needed_until =
+      std::max(d.own_row_needed_until, now + d.options.cancel_retention);
 }
 
-const stored_row* RowOf(const rows_reply& reply, const std::string& id) {
+const stored_row* FindRow(const rows_reply& reply, const std::string& id) {
   for (const stored_row& row : reply.rows) {
     if (row.key == id)
       return &row;
@@ -183,24 +184,24 @@
 
 }  // namespace
 
-void TakeLookUp(entry_state& s,
-                micros now,
-                const open_read& read,
-                const rows_reply& reply) {
+void HandleLookUp(entry_state& s,
+                  micros now,
+                  const open_read& read,
+                  const rows_reply& reply) {
   if (reply.status != store_status::ok) {
     AnswerLookUp(s, read, leased_job_state::unknown, true);
     return;
   }
-  const stored_row* row = RowOf(reply, read.id);
+  const stored_row* row = FindRow(reply, read.id);
   if (read.purpose == read_purpose::find_live) {
-    if (row != nullptr && read.cancels)
+    if (row != nullptr && read.is_cancel)
       CancelElsewhere(s, now, read, *row);
     else if (row != nullptr)
       AnswerLookUp(s, read, leased_job_state::queued, false);
     else
-      ReadRows(
-          s, {kEndedTable, read.id, 1, false},
-          {read_purpose::find_ended_again, read.id, read.ticket, read.cancels});
+      ReadRows(s, {kEndedTable, read.id, 1, false},
+               {read_purpose::find_ended_again, read.id, read.ticket,
+                read.is_cancel});
     return;
   }
   const auto ended = row == nullptr ? std::nullopt : ReadEndedRow(row->value);
@@ -208,7 +209,7 @@
     AnswerLookUp(s, read, StateOf(ended->outcome), false);
   else if (read.purpose == read_purpose::find_ended)
     ReadRows(s, {kJobsTable, read.id, 1, false},
-             {read_purpose::find_live, read.id, read.ticket, read.cancels});
+             {read_purpose::find_live, read.id, read.ticket, read.is_cancel});
   else
     AnswerLookUp(s, read, leased_job_state::unknown, false);
 }
@@ -216,27 +217,27 @@
 // Ends of a job that lives are its owner's to settle, and so are those of one
 // that has ended, as only its owner knows which runs it counted. If that one is
 // gone too, a lapse is always safe. A job without any row needs nothing.
-void TakeStranger(entry_state& s,
-                  const open_read& read,
-                  const rows_reply& reply) {
+void HandleForeignJob(entry_state& s,
+                      const open_read& read,
+                      const rows_reply& reply) {
   durable_state& d = s.leased.durable;
-  const auto stranger = d.strangers.find(read.id);
-  if (reply.status != store_status::ok || stranger == d.strangers.end())
+  const auto stranger = d.foreign_jobs.find(read.id);
+  if (reply.status != store_status::ok || stranger == d.foreign_jobs.end())
     return;
-  const stored_row* row = RowOf(reply, read.id);
-  if (read.purpose == read_purpose::find_stray) {
+  const stored_row* row = FindRow(reply, read.id);
+  if (read.purpose == read_purpose::find_orphan_job) {
     if (row == nullptr)
       ReadRows(s, {kEndedTable, read.id, 1, false},
-               {read_purpose::find_stray_ended, read.id, {}, false});
+               {read_purpose::find_orphan_job_ended, read.id, {}, false});
     return;
   }
   const std::string owner = row == nullptr ? "" : OwnerOf(row->value);
   const bool lives =
-      owner != d.life && d.peers.count(kEntryPrefix + owner) != 0;
+      owner != d.owner_incarnation && d.peers.count(kEntryPrefix + owner) != 0;
   if (row == nullptr)
-    stranger->second.fate = end_fate::forget;
+    stranger->second.ends_disposition = end_disposition::forget;
   else if (!lives)
-    stranger->second.fate = end_fate::lapse;
+    stranger->second.ends_disposition = end_disposition::expire_lease;
 }
 
 }  // namespace cassiaferry
--- a/src/core/durable_ends.cc
+++ b/src/core/durable_ends.cc
@@ -25,26 +25,29 @@
 // its stream, and the next acknowledgement covers the end. Until the sidecar
 // has confirmed the order the end counts as unsaved, and the order is sent
 // again on each stream.
-void SettleEnd(entry_state& s, const unsaved_end& end, end_fate fate) {
+void ResolveEnd(entry_state& s, const unsaved_end& end, end_disposition fate) {
   leased_worker& w = s.leased.workers[end.worker.value];
-  if (w.sidecar_life != end.life)
+  if (w.sidecar_incarnation != end.sidecar_incarnation)
     return;  // whoever finds it there offers it again
-  if (end.number != 0 && fate == end_fate::forget) {
-    w.unsaved.erase(end.number);
+  if (end.number != 0 && fate == end_disposition::forget) {
+    w.unsaved_ends.erase(end.number);
     return;
   }
   if (end.number != 0)
-    w.unsaved.insert(end.number);
-  w.settling.push_back({++w.settled_sent, end.number, {end.ref, fate}});
+    w.unsaved_ends.insert(end.number);
+  w.open_resolutions.push_back(
+      {++w.resolutions_sent, end.number, {end.ref, fate}});
   if (s.workers[end.worker.value].state != worker_link::down)
-    OrdersFor(s, end.worker).settled.push_back({end.ref, fate});
+    OrdersFor(s, end.worker).resolved_ends.push_back({end.ref, fate});
 }
 
 }  // namespace
 
-void SettleEnds(entry_state& s, std::vector<unsaved_end>& ends, end_fate fate) {
+void ResolveEnds(entry_state& s,
+                 std::vector<unsaved_end>& ends,
+                 end_disposition fate) {
   for (const unsaved_end& end : ends)
-    SettleEnd(s, end, fate);
+    ResolveEnd(s, end, fate);
   ends.clear();
 }
 
@@ -52,11 +55,11 @@
 
 namespace {
 
-enum class stray_kind : uint8_t {
+enum class orphan_kind : uint8_t {
   counts,          // its task has not started again: it stands
   failure_counts,  // ... it has, but the failed run counts against its attempts
   known,           // it has been counted, and may not be stored yet
-  settled,         // nothing follows from it
+  irrelevant,      // nothing follows from it
   too_late,        // its task has started again, which it would have forbidden
   unknown,         // of no job known here
 };
@@ -65,79 +68,82 @@
   return row.run == FirstRun(job.durable.epoch);
 }
 
-stray_kind JudgeLiveTask(const leased_job& job,
-                         const leased_task_row& row,
-                         const run_end& end) {
+orphan_kind ClassifyTaskEnd(const leased_job& job,
+                            const leased_task_row& row,
+                            const run_end& end) {
   const bool newest = end.ref.run == row.run;
   const bool is_over = row.state == leased_task_state::done ||
                        job.durable.stage == durable_stage::ending;
   if (is_over && newest)
-    return stray_kind::known;
+    return orphan_kind::known;
   const bool waits = !is_over && row.state != leased_task_state::placed;
   // Failure guarded against: the end of a run that the owner before last
   // ordered; the last one may have started the task again, and nobody can tell.
   const bool of_owner_before = IsFirstOfEpoch(job, row) &&
                                end.ref.run < row.run &&
-                               end.ref.run > row.given_up &&
+                               end.ref.run > row.abandoned_run &&
                                end.ref.run >= FirstRun(job.durable.epoch - 1);
   if (waits && (newest || of_owner_before))
-    return stray_kind::counts;
+    return orphan_kind::counts;
   // It has started again since. Had this failure been the last one allowed, it
   // must not have.
-  const bool harmless = end.how == run_end_kind::failed &&
+  const bool harmless = end.kind == run_end_kind::failed &&
                         job.durable.stage != durable_stage::ending &&
                         row.failed + 1 < job.queue.max_attempts;
-  return harmless ? stray_kind::failure_counts : stray_kind::too_late;
+  return harmless ? orphan_kind::failure_counts : orphan_kind::too_late;
 }
 
-stray_kind JudgeStranger(const durable_state& d, const run_end& end) {
-  const auto stranger = d.strangers.find(end.ref.task.job);
-  if (stranger == d.strangers.end() || !stranger->second.fate)
-    return stray_kind::unknown;
-  return *stranger->second.fate == end_fate::lapse ? stray_kind::too_late
-                                                   : stray_kind::settled;
+orphan_kind ClassifyForeignEnd(const durable_state& d, const run_end& end) {
+  const auto stranger = d.foreign_jobs.find(end.ref.task.job);
+  if (stranger == d.foreign_jobs.end() || !stranger->second.ends_disposition)
+    return orphan_kind::unknown;
+  return *stranger->second.ends_disposition == end_disposition::expire_lease
+             ? orphan_kind::too_late
+             : orphan_kind::irrelevant;
 }
 
-stray_kind JudgeEndedJob(const durable_state& d, const run_end& end) {
+orphan_kind ClassifyEndOfEndedJob(const durable_state& d, const run_end& end) {
   const auto ended = d.ended.find(end.ref.task.job);
   const bool older =
       ended != d.ended.end() &&
       (ended->second.inherited || end.ref.run < FirstRun(ended->second.epoch));
-  if (ended != d.ended.end() && ended->second.elsewhere)
-    return JudgeStranger(d, end);
-  if (older || d.disowned.count(end.ref) != 0)
-    return stray_kind::too_late;
+  if (ended != d.ended.end() && ended->second.cancelled_elsewhere)
+    return ClassifyForeignEnd(d, end);
+  if (older || d.abandoned_runs.count(end.ref) != 0)
+    return orphan_kind::too_late;
   if (ended != d.ended.end())
-    return stray_kind::settled;
-  return JudgeStranger(d, end);
+    return orphan_kind::irrelevant;
+  return ClassifyForeignEnd(d, end);
 }
 
-stray_kind JudgeStray(entry_state& s, const run_end& end) {
+orphan_kind ClassifyOrphan(entry_state& s, const run_end& end) {
   leased_job* job = FindLeasedJob(s.leased, end.ref.task.job);
   // Of a job that nobody stores: there is no row to look for.
-  if (job == nullptr && end.ref.run < FirstRun(durable_part().epoch))
-    return stray_kind::settled;
+  if (job == nullptr && end.ref.run < FirstRun(durable_job_state().epoch))
+    return orphan_kind::irrelevant;
   if (job == nullptr || job->durable.stage == durable_stage::accepting)
-    return JudgeEndedJob(s.leased.durable, end);
+    return ClassifyEndOfEndedJob(s.leased.durable, end);
   if (!IsDurable(*job))
-    return stray_kind::settled;
+    return orphan_kind::irrelevant;
   leased_task_row* row = FindTask(*job, end.ref.task);
-  return row == nullptr ? stray_kind::settled : JudgeLiveTask(*job, *row, end);
+  return row == nullptr ? orphan_kind::irrelevant
+                        : ClassifyTaskEnd(*job, *row, end);
 }
 
 // ---- [3] Taking it ----------------------------------------------------------
 
-void TakeStanding(entry_state& s,
-                  micros now,
-                  worker_id id,
-                  const run_end& end) {
+void HandleCountingEnd(entry_state& s,
+                       micros now,
+                       worker_id id,
+                       const run_end& end) {
   leased_job& job = *FindLeasedJob(s.leased, end.ref.task.job);
   leased_task_row& row = *FindTask(job, end.ref.task);
   LogJob(s, "run ended, found", job,
-         std::string(ToText(end.how)) + ", run " + std::to_string(end.ref.run) +
-             ", worker " + s.workers[id.value].name);
+         std::string(ToText(end.kind)) + ", run " +
+             std::to_string(end.ref.run) + ", worker " +
+             s.workers[id.value].name);
   AddUnsavedEnd(s, job, id, end);
-  if (end.how == run_end_kind::failed) {
+  if (end.kind == run_end_kind::failed) {
     CountFailedRun(s, now, job, row);
     return;
   }
@@ -147,21 +153,22 @@
   FinishLeasedTask(s, now, job, row);
 }
 
-void SettleStray(entry_state& s,
-                 worker_id id,
-                 const run_end& end,
-                 end_fate fate) {
-  if (fate == end_fate::lapse) {
-    ++s.leased.durable.counters.lapses_asked;
+void ResolveOrphan(entry_state& s,
+                   worker_id id,
+                   const run_end& end,
+                   end_disposition fate) {
+  if (fate == end_disposition::expire_lease) {
+    ++s.leased.durable.counters.expiries_requested;
     s.actions.push_back(leased_decision{
         "end came too late", end.ref.task.job,
-        std::string(ToText(end.how)) + ", run " + std::to_string(end.ref.run) +
+        std::string(ToText(end.kind)) + ", run " + std::to_string(end.ref.run) +
             ", given up before; its worker's lease must lapse, worker " +
             s.workers[id.value].name});
   }
-  SettleEnd(s,
-            {id, s.leased.workers[id.value].sidecar_life, end.number, end.ref},
-            fate);
+  ResolveEnd(
+      s,
+      {id, s.leased.workers[id.value].sidecar_incarnation, end.number, end.ref},
+      fate);
 }
 
 }  // namespace
@@ -169,15 +176,15 @@
 // Failure guarded against: the next owner of the job finds the end of a run
 // that this one gave up and replaced, and takes it for the newest. That it was
 // given up is stored before its task starts again.
-void DisownRun(entry_state& s,
-               micros now,
-               leased_job& job,
-               const run_ref& ref) {
+void AbandonRun(entry_state& s,
+                micros now,
+                leased_job& job,
+                const run_ref& ref) {
   if (!IsDurable(job))
     return;
-  s.leased.durable.disowned.emplace(ref, now);
+  s.leased.durable.abandoned_runs.emplace(ref, now);
   if (leased_task_row* row = FindTask(job, ref.task))
-    row->given_up = std::max(row->given_up, ref.run);
+    row->abandoned_run = std::max(row->abandoned_run, ref.run);
   job.durable.must_save = true;
   MarkUnsaved(s, job);
 }
@@ -186,57 +193,57 @@
 // task it started elsewhere, had ended before its worker was cut off. If its
 // end were acknowledged the task would count as done twice, or as failed too
 // often. It may be forgotten only after the worker's lease has lapsed.
-void TakeStrayEnd(entry_state& s,
-                  micros now,
-                  worker_id id,
-                  const run_end& end) {
+void HandleOrphanedEnd(entry_state& s,
+                       micros now,
+                       worker_id id,
+                       const run_end& end) {
   const bool counts =
-      end.how == run_end_kind::done || end.how == run_end_kind::failed;
+      end.kind == run_end_kind::done || end.kind == run_end_kind::failed;
   if (!counts || !s.leased.durable.options.enabled)
     return;
-  switch (JudgeStray(s, end)) {
-    case stray_kind::counts:
-      TakeStanding(s, now, id, end);
+  switch (ClassifyOrphan(s, end)) {
+    case orphan_kind::counts:
+      HandleCountingEnd(s, now, id, end);
       return;
-    case stray_kind::failure_counts: {
+    case orphan_kind::failure_counts: {
       leased_job& job = *FindLeasedJob(s.leased, end.ref.task.job);
       AddUnsavedEnd(s, job, id, end);
       CountFailedRun(s, now, job, *FindTask(job, end.ref.task));
       return;
     }
-    case stray_kind::known:
+    case orphan_kind::known:
       AddUnsavedEnd(s, *FindLeasedJob(s.leased, end.ref.task.job), id, end);
       return;
-    case stray_kind::too_late:
-      SettleStray(s, id, end, end_fate::lapse);
+    case orphan_kind::too_late:
+      ResolveOrphan(s, id, end, end_disposition::expire_lease);
       return;
-    case stray_kind::settled:
+    case orphan_kind::irrelevant:
       if (end.number == 0)
-        SettleStray(s, id, end, end_fate::forget);
+        ResolveOrphan(s, id, end, end_disposition::forget);
       return;
-    case stray_kind::unknown:
+    case orphan_kind::unknown:
       if (end.number == 0)
-        LookUpStranger(s, now, end.ref.task.job);
+        LookUpForeignJob(s, now, end.ref.task.job);
       return;
   }
 }
 
-void TakeUnclaimedEnds(entry_state& s,
-                       micros now,
-                       worker_id id,
-                       const lease_reports& reports) {
+void HandleUnclaimedEnds(entry_state& s,
+                         micros now,
+                         worker_id id,
+                         const lease_reports& reports) {
   for (run_end end : reports.unclaimed) {
     end.number = 0;
     // One that this entry has taken, and is storing, is settled when it is.
     leased_job* job = FindLeasedJob(s.leased, end.ref.task.job);
     const auto is_it = [&](const unsaved_end& u) { return u.ref == end.ref; };
-    if (job != nullptr &&
-        std::any_of(job->durable.ends.begin(), job->durable.ends.end(), is_it))
+    if (job != nullptr && std::any_of(job->durable.unsaved_ends.begin(),
+                                      job->durable.unsaved_ends.end(), is_it))
       continue;
-    if (job != nullptr && std::any_of(job->durable.saving.begin(),
-                                      job->durable.saving.end(), is_it))
+    if (job != nullptr && std::any_of(job->durable.saving_ends.begin(),
+                                      job->durable.saving_ends.end(), is_it))
       continue;
-    TakeEnd(s, now, id, end);
+    HandleRunEnd(s, now, id, end);
   }
 }
 
--- a/src/core/durable_jobs.cc
+++ b/src/core/durable_jobs.cc
@@ -30,7 +30,7 @@
 journal_op_id WriteRows(durable_state& d,
                         row_transaction rows,
                         open_write purpose) {
-  const journal_op_id id = Write(d.journal, std::move(rows));
+  const journal_op_id id = EnqueueWrite(d.journal, std::move(rows));
   d.writes.emplace(id.value, std::move(purpose));
   return id;
 }
@@ -49,13 +49,13 @@
                    const std::string& id,
                    const ended_job& ended) {
   if (d.ended.insert_or_assign(id, ended).second)
-    d.ended_order.emplace_back(now + d.options.keep_ended, id);
+    d.ended_order.emplace_back(now + d.options.ended_retention, id);
 }
 
 void EraseDurableJob(entry_state& s, leased_job& job) {
   durable_state& d = s.leased.durable;
   d.dirty.erase(job.seq.value);
-  d.writes.erase(job.durable.op.value);
+  d.writes.erase(job.durable.pending_op.value);
   --d.jobs;
   EraseLeasedJob(s, job);
 }
@@ -70,7 +70,7 @@
 }
 
 // Null: it may be taken.
-std::optional<failure> WhyNot(const entry_state& s, micros now) {
+std::optional<failure> RefusalReason(const entry_state& s, micros now) {
   const durable_state& d = s.leased.durable;
   // A stopping entry serves what its callers still send on open connections;
   // what it can't finish it leaves to others.
@@ -82,7 +82,7 @@
                    kStoreRetryMs};
   if (IsUnreachable(d.journal, now))
     return StoreUnavailable();
-  if (d.jobs >= d.options.most_jobs)
+  if (d.jobs >= d.options.max_jobs)
     return failure{verdict::not_run, reason::queue_full,
                    "too many jobs wait at this entry", kStoreRetryMs};
   return std::nullopt;
@@ -91,31 +91,34 @@
 void WriteAccept(durable_state& d, leased_job& job) {
   row_transaction rows;
   rows.expected = {{{kJobsTable, job.id}, 0}, {{kEndedTable, job.id}, 0}};
-  rows.sets = {{kJobsTable, job.id, JobRow(job, d.life)}};
-  job.durable.op =
+  rows.sets = {{kJobsTable, job.id, JobRow(job, d.owner_incarnation)}};
+  job.durable.pending_op =
       WriteRows(d, std::move(rows), {write_purpose::accept, job.id, {}});
 }
 
-void Accepted(entry_state& s, micros now, leased_job& job, uint64_t version) {
+void HandleAccepted(entry_state& s,
+                    micros now,
+                    leased_job& job,
+                    uint64_t version) {
   durable_state& d = s.leased.durable;
   job.durable.stage = durable_stage::stored;
   job.durable.version = version;
-  job.durable.op = {};
+  job.durable.pending_op = {};
   ++d.counters.accepted;
   CountOutcome(s, now, job, leased_outcome::accepted, {});
   AnswerTickets(s, job, leased_outcome::accepted, {});
   s.leased.deadlines.erase({job.deadline, job.seq});
   job.deadline = {};
   ReleaseTasks(s.leased, job);
-  if (!job.durable.cancels.empty())
+  if (!job.durable.cancel_tickets.empty())
     EndDurableJob(s, job, leased_outcome::cancelled);
 }
 
 // Another entry has it, or it has ended: the caller's id names that job.
-void AlreadyTaken(entry_state& s, leased_job& job) {
+void HandleAlreadyStored(entry_state& s, leased_job& job) {
   LogJob(s, "job known already", job, "stored by another entry");
   AnswerTickets(s, job, leased_outcome::accepted, {});
-  const std::vector<ticket_id> cancels = std::move(job.durable.cancels);
+  const std::vector<ticket_id> cancels = std::move(job.durable.cancel_tickets);
   const std::string id = job.id;
   EraseDurableJob(s, job);
   for (ticket_id ticket : cancels)
@@ -127,7 +130,7 @@
 void SubmitDurableJob(entry_state& s, micros now, leased_job job) {
   durable_state& d = s.leased.durable;
   s.leased.last_durable = now;
-  if (const auto why = WhyNot(s, now)) {
+  if (const auto why = RefusalReason(s, now)) {
     RefuseTicket(s, job.tickets.front(), job.id, *why);
     return;
   }
@@ -135,13 +138,13 @@
   WriteAccept(d, AddLeasedJob(s.leased, std::move(job)));
 }
 
-void MissDurableDeadline(entry_state& s, micros now, leased_job& job) {
+void HandleDurableDeadline(entry_state& s, micros now, leased_job& job) {
   durable_state& d = s.leased.durable;
   s.leased.deadlines.erase({job.deadline, job.seq});
   job.deadline = {};
   if (job.durable.stage != durable_stage::accepting)
     return;
-  if (Withdraw(d.journal, job.durable.op)) {
+  if (Withdraw(d.journal, job.durable.pending_op)) {
     const failure why = StoreUnavailable();
     CountOutcome(s, now, job, leased_outcome::refused, why);
     AnswerTickets(s, job, leased_outcome::refused, why);
@@ -170,7 +173,7 @@
       accepting.push_back(seq);
   }
   for (leased_seq seq : accepting)
-    MissDurableDeadline(s, now, s.leased.jobs.at(seq));
+    HandleDurableDeadline(s, now, s.leased.jobs.at(seq));
 }
 
 }  // namespace
@@ -191,9 +194,10 @@
   if (!IsDurable(job))
     return;
   leased_worker& w = s.leased.workers[worker.value];
-  job.durable.ends.push_back({worker, w.sidecar_life, end.number, end.ref});
+  job.durable.unsaved_ends.push_back(
+      {worker, w.sidecar_incarnation, end.number, end.ref});
   if (end.number != 0)
-    w.unsaved.insert(end.number);
+    w.unsaved_ends.insert(end.number);
   MarkUnsaved(s, job);
 }
 
@@ -201,7 +205,7 @@
   if (job.durable.stage == durable_stage::ending)
     return;
   job.durable.stage = durable_stage::ending;
-  job.durable.ends_as = outcome;
+  job.durable.end_outcome = outcome;
   StopRuns(s, job);
   Dequeue(s.leased, job);
   MarkUnsaved(s, job);
@@ -209,25 +213,25 @@
 
 namespace {
 
-row_condition JobStands(const leased_job& job) {
+row_condition JobRowUnchanged(const leased_job& job) {
   return {{kJobsTable, job.id}, job.durable.version};
 }
 
 row_transaction EndRows(const durable_state& d, const leased_job& job) {
   row_transaction rows;
-  rows.expected = {JobStands(job)};
+  rows.expected = {JobRowUnchanged(job)};
   rows.removes = {{kJobsTable, job.id}};
   if (job.durable.has_progress)
     rows.removes.push_back({kProgressTable, job.id});
-  rows.sets = {
-      {kEndedTable, job.id,
-       EndedRow({job.durable.ends_as, job.durable.epoch}, d.life, d.life)}};
+  rows.sets = {{kEndedTable, job.id,
+                EndedRow({job.durable.end_outcome, job.durable.epoch},
+                         d.owner_incarnation, d.owner_incarnation)}};
   return rows;
 }
 
 row_transaction SaveRows(const leased_job& job) {
   row_transaction rows;
-  rows.expected = {JobStands(job)};
+  rows.expected = {JobRowUnchanged(job)};
   rows.sets = {{kProgressTable, job.id, ProgressRow(job)}};
   return rows;
 }
@@ -237,10 +241,10 @@
   const bool ends = job.durable.stage == durable_stage::ending;
   job.durable.unsaved = false;
   job.durable.unsaved_since = {};
-  std::move(job.durable.ends.begin(), job.durable.ends.end(),
-            std::back_inserter(job.durable.saving));
-  job.durable.ends.clear();
-  job.durable.op =
+  std::move(job.durable.unsaved_ends.begin(), job.durable.unsaved_ends.end(),
+            std::back_inserter(job.durable.saving_ends));
+  job.durable.unsaved_ends.clear();
+  job.durable.pending_op =
       WriteRows(d, ends ? EndRows(d, job) : SaveRows(job),
                 {ends ? write_purpose::end : write_purpose::save, job.id, {}});
   job.durable.has_progress = true;
@@ -252,34 +256,34 @@
   durable_state& d = s.leased.durable;
   std::erase_if(d.dirty, [&](uint64_t seq) {
     leased_job& job = s.leased.jobs.at(leased_seq{seq});
-    if (job.durable.op.value != 0 ||
+    if (job.durable.pending_op.value != 0 ||
         job.durable.stage == durable_stage::accepting)
       return false;
     if (job.durable.unsaved_since.value == 0)
       job.durable.unsaved_since = now;
     const bool due = job.durable.stage == durable_stage::ending ||
                      job.durable.must_save ||
-                     now - job.durable.unsaved_since >= d.options.save_after;
+                     now - job.durable.unsaved_since >= d.options.save_delay;
     if (due)
       WriteProgress(s, job);
     return due;
   });
 }
 
-void Saved(entry_state& s, leased_job& job) {
-  job.durable.op = {};
+void HandleSaved(entry_state& s, leased_job& job) {
+  job.durable.pending_op = {};
   job.durable.must_save = job.durable.must_save && job.durable.unsaved;
-  SettleEnds(s, job.durable.saving, end_fate::forget);
+  ResolveEnds(s, job.durable.saving_ends, end_disposition::forget);
 }
 
-void Ended(entry_state& s, micros now, leased_job& job) {
+void HandleEnded(entry_state& s, micros now, leased_job& job) {
   durable_state& d = s.leased.durable;
-  const leased_outcome outcome = job.durable.ends_as;
-  Saved(s, job);
-  SettleEnds(s, job.durable.ends, end_fate::forget);
+  const leased_outcome outcome = job.durable.end_outcome;
+  HandleSaved(s, job);
+  ResolveEnds(s, job.durable.unsaved_ends, end_disposition::forget);
   CountOutcome(s, now, job, outcome, {});
-  AnswerCancels(s, job, true);
-  AnswerAskers(s, job, StateOf(outcome), false);
+  AnswerCancelRequests(s, job, true);
+  AnswerQueries(s, job, StateOf(outcome), false);
   RememberEnded(d, now, job.id, {outcome, job.durable.epoch});
   EraseDurableJob(s, job);
 }
@@ -288,16 +292,16 @@
 
 // The job's row is not as this entry left it, though nobody has taken its
 // place: a caller has cancelled the job through another entry.
-void CancelledElsewhere(entry_state& s, micros now, leased_job& job) {
+void HandleCancelledElsewhere(entry_state& s, micros now, leased_job& job) {
   durable_state& d = s.leased.durable;
   CountOutcome(s, now, job, leased_outcome::cancelled,
                {verdict::may_have_run, reason::cancelled,
                 "cancelled through another entry", 0});
   StopRuns(s, job);
-  SettleEnds(s, job.durable.saving, end_fate::forget);
-  SettleEnds(s, job.durable.ends, end_fate::forget);
-  AnswerCancels(s, job, true);
-  AnswerAskers(s, job, leased_job_state::cancelled, false);
+  ResolveEnds(s, job.durable.saving_ends, end_disposition::forget);
+  ResolveEnds(s, job.durable.unsaved_ends, end_disposition::forget);
+  AnswerCancelRequests(s, job, true);
+  AnswerQueries(s, job, leased_job_state::cancelled, false);
   RememberEnded(d, now, job.id, {leased_outcome::cancelled, job.durable.epoch});
   EraseDurableJob(s, job);
 }
@@ -306,28 +310,28 @@
 
 namespace {
 
-void TakeJobWrite(entry_state& s,
-                  micros now,
-                  const open_write& write,
-                  const journal_result& result) {
+void HandleJobWrite(entry_state& s,
+                    micros now,
+                    const open_write& write,
+                    const journal_result& result) {
   leased_job* job = FindLeasedJob(s.leased, write.id);
-  if (job == nullptr || job->durable.op != result.id)
+  if (job == nullptr || job->durable.pending_op != result.id)
     return;
   if (write.purpose == write_purpose::accept) {
     if (result.done)
-      Accepted(s, now, *job, result.version);
+      HandleAccepted(s, now, *job, result.version);
     else
-      AlreadyTaken(s, *job);
+      HandleAlreadyStored(s, *job);
   } else if (!result.done) {
-    CancelledElsewhere(s, now, *job);
+    HandleCancelledElsewhere(s, now, *job);
   } else if (write.purpose == write_purpose::end) {
-    Ended(s, now, *job);
+    HandleEnded(s, now, *job);
   } else {
-    Saved(s, *job);
+    HandleSaved(s, *job);
   }
 }
 
-void TakeWrite(entry_state& s, micros now, const journal_result& result) {
+void HandleWrite(entry_state& s, micros now, const journal_result& result) {
   durable_state& d = s.leased.durable;
   const auto it = d.writes.find(result.id.value);
   if (it == d.writes.end())
@@ -338,7 +342,7 @@
     case write_purpose::accept:
     case write_purpose::save:
     case write_purpose::end:
-      TakeJobWrite(s, now, write, result);
+      HandleJobWrite(s, now, write, result);
       return;
     case write_purpose::cancel_elsewhere:
       if (!result.done) {  // it has moved on: look again
@@ -347,13 +351,13 @@
       }
       RememberEnded(d, now, write.id,
                     {leased_outcome::cancelled, 0, false, true});
-      d.cancel_rows.emplace_back(now + d.options.keep_cancel, write.id);
+      d.cancel_rows.emplace_back(now + d.options.cancel_retention, write.id);
       s.actions.push_back(answer_cancelled{write.ticket, true, false});
       return;
     case write_purpose::claim_owner:
     case write_purpose::adopt_job:
-    case write_purpose::close_owner:
-      TakeAdoptionWrite(s, now, write, result);
+    case write_purpose::remove_owner:
+      HandleAdoptionWrite(s, now, write, result);
       return;
     case write_purpose::release:
     case write_purpose::sweep:
@@ -361,23 +365,23 @@
   }
 }
 
-void TakeWrites(entry_state& s, micros now) {
+void HandleWrites(entry_state& s, micros now) {
   durable_state& d = s.leased.durable;
   std::vector<journal_result> results;
   results.swap(d.journal.results);
   for (const journal_result& result : results)
-    TakeWrite(s, now, result);
+    HandleWrite(s, now, result);
   if (d.journal.deposed)
     Depose(s);
 }
 
 }  // namespace
 
-void TakeStoreAnswer(entry_state& s, micros now, const store_answered& e) {
+void HandleStoreAnswer(entry_state& s, micros now, const store_answered& e) {
   durable_state& d = s.leased.durable;
   if (e.call % 2 == 0) {
-    TakeJournalReply(d.journal, now, e.call / 2, e.reply);
-    TakeWrites(s, now);
+    HandleJournalReply(d.journal, now, e.call / 2, e.reply);
+    HandleWrites(s, now);
     return;
   }
   const auto it = d.reads.find(e.call);
@@ -387,27 +391,27 @@
   d.reads.erase(it);
   switch (read.purpose) {
     case read_purpose::poll_owners:
-      TakeOwners(s, now, e.reply);
+      HandleOwnersPage(s, now, e.reply);
       return;
     case read_purpose::find_ended:
     case read_purpose::find_live:
     case read_purpose::find_ended_again:
-      TakeLookUp(s, now, read, e.reply);
+      HandleLookUp(s, now, read, e.reply);
       return;
-    case read_purpose::find_stray:
-    case read_purpose::find_stray_ended:
-      TakeStranger(s, read, e.reply);
+    case read_purpose::find_orphan_job:
+    case read_purpose::find_orphan_job_ended:
+      HandleForeignJob(s, read, e.reply);
       return;
     case read_purpose::adopt:
-      TakeAdoptionPage(s, now, e.reply);
+      HandleAdoptionPage(s, now, e.reply);
       return;
   }
 }
 
-void TakeCancelRow(entry_state& s, micros now, const std::string& id) {
+void HandleCancelRow(entry_state& s, micros now, const std::string& id) {
   leased_job* job = FindLeasedJob(s.leased, id);
   if (job != nullptr && job->durable.stage == durable_stage::stored)
-    CancelledElsewhere(s, now, *job);
+    HandleCancelledElsewhere(s, now, *job);
 }
 
 // ---- [5] Tick ---------------------------------------------------------------
@@ -419,11 +423,11 @@
   constexpr size_t kMostAtOnce = 40;
   constexpr micros kEvery = Millis(1000);
   durable_state& d = s.leased.durable;
-  std::erase_if(d.disowned, [&](const auto& row) {
-    return now - row.second > d.options.keep_disowned;
+  std::erase_if(d.abandoned_runs, [&](const auto& row) {
+    return now - row.second > d.options.abandoned_retention;
   });
-  std::erase_if(d.strangers, [&](const auto& row) {
-    return now - row.second.ask_again > d.options.keep_stranger;
+  std::erase_if(d.foreign_jobs, [&](const auto& row) {
+    return now - row.second.next_lookup_at > d.options.foreign_retention;
   });
   if (now < d.next_sweep || IsUnreachable(d.journal, now))
     return;
@@ -451,7 +455,7 @@
   if (!IsDurable(job))
     return true;
   return job.durable.stage == durable_stage::stored && !job.durable.must_save &&
-         now >= job.durable.start_from &&
+         now >= job.durable.not_before &&
          IsOwner(s.leased.durable.journal, now);
 }
 
@@ -459,11 +463,11 @@
   durable_state& d = l.durable;
   d.options = l.options.durable;
   d.generation = 1;
-  d.life = ToHex(options.self.value) + ".1";
-  d.journal.own = {kOwnersTable, kEntryPrefix + d.life};
+  d.owner_incarnation = ToHex(options.self.value) + ".1";
+  d.journal.own_row = {kOwnersTable, kEntryPrefix + d.owner_incarnation};
 }
 
-bool DurableJobsSettled(const entry_state& s, micros now) {
+bool DurableJobsDrained(const entry_state& s, micros now) {
   const durable_state& d = s.leased.durable;
   const leased_options& o = s.leased.options;
   return !d.options.enabled || (!d.journal.open && d.journal.waiting.empty()) ||
@@ -474,15 +478,15 @@
   durable_state& d = s.leased.durable;
   if (!d.options.enabled)
     return;
-  AnswerOldQuestions(s, now);
+  AnswerOverdueQueries(s, now);
   RefuseWhileUnreachable(s, now);
   CheckOwnership(s, now);
   ReleaseJobs(s, now);
   WriteUnsaved(s, now);
   TickAdoption(s, now);
   Sweep(s, now);
-  KeepOwnRow(s, now);
-  TellFacts(s, now);
+  MaintainOwnRow(s, now);
+  RefreshOwnRowFields(s, now);
   TickJournal(d.journal, now);
   for (auto& [call, transaction] : d.journal.calls)
     s.actions.push_back(store_call{2 * call, std::move(transaction)});
--- a/src/core/durable_ownership.cc
+++ b/src/core/durable_ownership.cc
@@ -37,31 +37,32 @@
 void LeaveJobs(entry_state& s) {
   ForEachDurableJob(s, [&](leased_job& job) {
     StopRuns(s, job);
-    SettleEnds(s, job.durable.saving, end_fate::pass_on);
-    SettleEnds(s, job.durable.ends, end_fate::pass_on);
+    ResolveEnds(s, job.durable.saving_ends, end_disposition::offer_to_others);
+    ResolveEnds(s, job.durable.unsaved_ends, end_disposition::offer_to_others);
     AnswerTickets(s, job, leased_outcome::refused,
                   {verdict::may_have_run, reason::platform_unavailable,
                    "another entry has taken over", 0});
-    for (ticket_id ticket : job.durable.cancels)
+    for (ticket_id ticket : job.durable.cancel_tickets)
       s.actions.push_back(answer_cancelled{ticket, false, true});
-    AnswerAskers(s, job, leased_job_state::unknown, true);
+    AnswerQueries(s, job, leased_job_state::unknown, true);
     EraseDurableJob(s, job);
   });
 }
 
-void NewLife(entry_state& s) {
+void BeginIncarnation(entry_state& s) {
   durable_state& d = s.leased.durable;
-  d.peers.erase(d.journal.own.key);
+  d.peers.erase(d.journal.own_row.key);
   ++d.generation;
-  d.life = ToHex(s.options.self.value) + "." + std::to_string(d.generation);
+  d.owner_incarnation =
+      ToHex(s.options.self.value) + "." + std::to_string(d.generation);
   journal_state fresh;
   fresh.options = d.journal.options;
-  fresh.own = {kOwnersTable, kEntryPrefix + d.life};
+  fresh.own_row = {kOwnersTable, kEntryPrefix + d.owner_incarnation};
   fresh.transactions = d.journal.transactions;
   fresh.next_call = d.journal.next_call;
   fresh.next_op = d.journal.next_op;
   d.journal = std::move(fresh);
-  d.facts_at = {};
+  d.own_fields_at = {};
 }
 
 }  // namespace
@@ -74,17 +75,17 @@
 void Depose(entry_state& s) {
   durable_state& d = s.leased.durable;
   ++d.counters.deposed;
-  s.actions.push_back(
-      leased_decision{"jobs taken over by another entry", "",
-                      "life " + d.life + ", jobs " + std::to_string(d.jobs)});
+  s.actions.push_back(leased_decision{
+      "jobs taken over by another entry", "",
+      "life " + d.owner_incarnation + ", jobs " + std::to_string(d.jobs)});
   LeaveJobs(s);
   for (const auto& [op, write] : d.writes) {
     if (write.purpose == write_purpose::cancel_elsewhere)
       s.actions.push_back(answer_cancelled{write.ticket, false, true});
   }
   d.writes.clear();
-  d.taking_over.reset();
-  NewLife(s);
+  d.current_adoption.reset();
+  BeginIncarnation(s);
 }
 
 // Failure guarded against: the store is out of this entry's reach, and another
@@ -92,12 +93,12 @@
 void CheckOwnership(entry_state& s, micros now) {
   durable_state& d = s.leased.durable;
   const bool owner = d.journal.own_version == 0 || IsOwner(d.journal, now);
-  if (owner != d.owner_told)
+  if (owner != d.logged_as_owner)
     s.actions.push_back(leased_decision{
         owner ? "owns its jobs again" : "owns its jobs no more", "",
-        "life " + d.life + ", jobs " + std::to_string(d.jobs)});
-  const bool lapsed = d.owner_told && !owner;
-  d.owner_told = owner;
+        "life " + d.owner_incarnation + ", jobs " + std::to_string(d.jobs)});
+  const bool lapsed = d.logged_as_owner && !owner;
+  d.logged_as_owner = owner;
   if (!lapsed)
     return;
   ForEachDurableJob(s, [&](leased_job& job) {
@@ -119,14 +120,14 @@
       now - s.drain_since < o.drain_accept + micros{o.drain_close.value / 2})
     return;
   d.released = true;
-  if (d.jobs == 0 && !d.taking_over)
+  if (d.jobs == 0 && !d.current_adoption)
     return;  // the own row goes
   s.actions.push_back(leased_decision{"jobs left to other entries", "",
                                       "jobs " + std::to_string(d.jobs)});
   LeaveJobs(s);
-  d.taking_over.reset();  // what it has taken so far is left too
+  d.current_adoption.reset();  // what it has taken so far is left too
   d.left_jobs = true;
-  d.facts_at = {};
+  d.own_fields_at = {};
   WriteRows(d, {}, {write_purpose::release, "", {}});
 }
 
@@ -135,31 +136,32 @@
 // The own row is there while jobs are owned, and some time longer. Once it is
 // gone this entry is a new owner: a copy of an old write that is still on its
 // way must not find the row absent, as it expects, and apply.
-void KeepOwnRow(entry_state& s, micros now) {
+void MaintainOwnRow(entry_state& s, micros now) {
   durable_state& d = s.leased.durable;
-  if (d.jobs > 0 || d.taking_over)
-    d.needed_until = std::max(d.needed_until, now + d.options.linger);
+  if (d.jobs > 0 || d.current_adoption)
+    d.own_row_needed_until =
+        std::max(d.own_row_needed_until, now + d.options.own_row_linger);
   // One that says that jobs are left to others stays until they are taken.
   const bool needed = d.left_jobs ? d.journal.own_version != 0
-                                  : now < d.needed_until && !d.released;
-  const bool removed = !d.journal.wanted && d.had_row &&
+                                  : now < d.own_row_needed_until && !d.released;
+  const bool removed = !d.journal.own_row_wanted && d.had_own_row &&
                        d.journal.own_version == 0 && !d.journal.open &&
                        d.journal.waiting.empty();
   if (removed) {
-    NewLife(s);
-    d.had_row = false;
+    BeginIncarnation(s);
+    d.had_own_row = false;
   }
-  d.had_row = d.had_row || d.journal.own_version != 0;
-  d.journal.wanted = needed;
+  d.had_own_row = d.had_own_row || d.journal.own_version != 0;
+  d.journal.own_row_wanted = needed;
 }
 
-void TellFacts(entry_state& s, micros now) {
+void RefreshOwnRowFields(entry_state& s, micros now) {
   constexpr micros kEvery = Millis(250);
   durable_state& d = s.leased.durable;
-  if (d.facts_at.value != 0 && now - d.facts_at < kEvery)
+  if (d.own_fields_at.value != 0 && now - d.own_fields_at < kEvery)
     return;
-  d.facts_at = now;
-  d.journal.facts = OwnerFacts(s);
+  d.own_fields_at = now;
+  d.journal.own_fields = OwnRowFields(s);
 }
 
 }  // namespace cassiaferry
--- a/src/core/durable_rows.cc
+++ b/src/core/durable_rows.cc
@@ -19,7 +19,7 @@
 
 namespace {
 
-constexpr uint64_t kMostTasks = 100'000;  // of a job; more are not accepted
+constexpr uint64_t kMaxTasks = 100'000;  // of a job; more are not accepted
 
 std::string Dump(const json& j) {
   return j.dump(-1, ' ', false, json::error_handler_t::replace);
@@ -59,10 +59,10 @@
     j["after"] = step.after;
   if (!step.label.empty())
     j["label"] = step.label;
-  if (!step.near.empty())
-    j["near"] = step.near;
-  if (step.most_per_worker != 0)
-    j["most_per_worker"] = step.most_per_worker;
+  if (!step.preferred_label.empty())
+    j["near"] = step.preferred_label;
+  if (step.max_per_worker != 0)
+    j["most_per_worker"] = step.max_per_worker;
   return j;
 }
 
@@ -73,8 +73,8 @@
   step.expected_ms = j.at("expected_ms");
   step.after = j.value("after", std::vector<uint32_t>());
   step.label = j.value("label", "");
-  step.near = j.value("near", "");
-  step.most_per_worker = j.value("most_per_worker", 0u);
+  step.preferred_label = j.value("near", "");
+  step.max_per_worker = j.value("most_per_worker", 0u);
   return step;
 }
 
@@ -137,7 +137,7 @@
       job.steps.push_back(ReadStep(step));
       tasks += job.steps.back().count;
     }
-    if (tasks == 0 || tasks > kMostTasks)
+    if (tasks == 0 || tasks > kMaxTasks)
       return std::nullopt;
     return job;
   } catch (const json::exception&) {
@@ -157,8 +157,8 @@
       done.push_back(i);
     if (row.failed != 0)
       failed.push_back({i, row.failed});
-    if (row.given_up != 0)
-      given_up.push_back({i, row.given_up});
+    if (row.abandoned_run != 0)
+      given_up.push_back({i, row.abandoned_run});
   }
   json j = {{"done", std::move(done)}};
   if (!failed.empty())
@@ -175,13 +175,13 @@
   return field != nullptr && field->is_array() ? *field : none;
 }
 
-size_t IndexIn(const json& j) {
+size_t ReadIndex(const json& j) {
   return j.is_number_unsigned() ? j.get<size_t>() : SIZE_MAX;
 }
 
 // The index of a task, and a number for it.
-bool IsPairIn(const json& j, size_t tasks) {
-  return j.is_array() && j.size() == 2 && IndexIn(j[0]) < tasks &&
+bool IsIndexedPair(const json& j, size_t tasks) {
+  return j.is_array() && j.size() == 2 && ReadIndex(j[0]) < tasks &&
          j[1].is_number_unsigned();
 }
 
@@ -191,20 +191,20 @@
   const json j = Parse(progress_row);
   const json none = json::array();
   for (const json& index : ListField(j, "done", none)) {
-    const size_t i = IndexIn(index);
+    const size_t i = ReadIndex(index);
     if (i >= job.tasks.size() || job.tasks[i].state == leased_task_state::done)
       continue;
     job.tasks[i].state = leased_task_state::done;
     ++job.done;
-    --job.step_left[job.tasks[i].task.step];
+    --job.step_tasks_left[job.tasks[i].task.step];
   }
   for (const json& pair : ListField(j, "failed", none)) {
-    if (IsPairIn(pair, job.tasks.size()))
-      job.tasks[IndexIn(pair[0])].failed = pair[1].get<uint32_t>();
+    if (IsIndexedPair(pair, job.tasks.size()))
+      job.tasks[ReadIndex(pair[0])].failed = pair[1].get<uint32_t>();
   }
   for (const json& pair : ListField(j, "given_up", none)) {
-    if (IsPairIn(pair, job.tasks.size()))
-      job.tasks[IndexIn(pair[0])].given_up = pair[1].get<uint32_t>();
+    if (IsIndexedPair(pair, job.tasks.size()))
+      job.tasks[ReadIndex(pair[0])].abandoned_run = pair[1].get<uint32_t>();
   }
 }
 
@@ -237,7 +237,7 @@
 
 // ---- [4] Owners -------------------------------------------------------------
 
-std::string OwnerFacts(const entry_state& s) {
+std::string OwnRowFields(const entry_state& s) {
   json waiting = json::object();
   const auto count = [&](leased_seq seq) {
     const leased_job& job = s.leased.jobs.at(seq);
@@ -247,7 +247,7 @@
   std::for_each(s.leased.waiting.begin(), s.leased.waiting.end(), count);
   std::for_each(s.leased.overdue.begin(), s.leased.overdue.end(), count);
   json j = {{"name", s.options.name},
-            {"life", s.leased.durable.life},
+            {"life", s.leased.durable.owner_incarnation},
             {"waiting", std::move(waiting)}};
   if (s.leased.durable.left_jobs)
     j["released"] = true;
@@ -256,7 +256,7 @@
 }
 
 std::string ClaimedRow(const peer_owner& peer, const std::string& by) {
-  return Dump({{"life", peer.life},
+  return Dump({{"life", peer.owner_incarnation},
                {"name", ""},
                {"taken_by", by},
                {"waiting", peer.waiting}});
@@ -270,7 +270,7 @@
   peer.key = row.key;
   peer.version = row.version;
   peer.name = TextField(j, "name");
-  peer.life = TextField(j, "life");
+  peer.owner_incarnation = TextField(j, "life");
   peer.released = FlagField(j, "released");
   const json* waiting = FindField(j, "waiting");
   if (waiting == nullptr || !waiting->is_object())
--- a/src/core/durable_rows.h
+++ b/src/core/durable_rows.h
@@ -40,7 +40,7 @@
 std::optional<ended_job> ReadEndedRow(const std::string& ended_row);
 
 // Members of the own row beside the beat.
-std::string OwnerFacts(const entry_state& s);
+std::string OwnRowFields(const entry_state& s);
 // The row of an owner that is gone, while its jobs are being taken over: they
 // still count as waiting. Without its name, so that its machine's new process
 // doesn't take them as its own.
--- a/src/core/durable_systems.h
+++ b/src/core/durable_systems.h
@@ -45,54 +45,56 @@
 void EraseDurableJob(entry_state& s, leased_job& job);
 // The job's row is not as this entry left it, though nobody has taken its
 // place: a caller has cancelled the job through another entry.
-void CancelledElsewhere(entry_state& s, micros now, leased_job& job);
+void HandleCancelledElsewhere(entry_state& s, micros now, leased_job& job);
 // Another entry's word that it has cancelled the job.
-void TakeCancelRow(entry_state& s, micros now, const std::string& id);
+void HandleCancelRow(entry_state& s, micros now, const std::string& id);
 
 // ---- [2] Ends (durable_ends.cc) ---------------------------------------------
 
-void SettleEnds(entry_state& s, std::vector<unsaved_end>& ends, end_fate fate);
+void ResolveEnds(entry_state& s,
+                 std::vector<unsaved_end>& ends,
+                 end_disposition fate);
 
 // ---- [3] Callers (durable_callers.cc) ---------------------------------------
 
 leased_job_state StateOf(leased_outcome outcome);
-void AnswerAskers(entry_state& s,
-                  leased_job& job,
-                  leased_job_state state,
-                  bool unavailable);
-void AnswerOldQuestions(entry_state& s, micros now);
-void AnswerCancels(entry_state& s, leased_job& job, bool known);
+void AnswerQueries(entry_state& s,
+                   leased_job& job,
+                   leased_job_state state,
+                   bool unavailable);
+void AnswerOverdueQueries(entry_state& s, micros now);
+void AnswerCancelRequests(entry_state& s, leased_job& job, bool known);
 // Answers the caller with what the store says of the job, or cancels it.
 void LookUpJob(entry_state& s,
                ticket_id ticket,
                const std::string& id,
                bool cancels);
-void TakeLookUp(entry_state& s,
-                micros now,
-                const open_read& read,
-                const rows_reply& reply);
-// Runs of a job unknown here were found on a worker: does it live?
-void LookUpStranger(entry_state& s, micros now, const std::string& id);
-void TakeStranger(entry_state& s,
+void HandleLookUp(entry_state& s,
+                  micros now,
                   const open_read& read,
                   const rows_reply& reply);
+// Runs of a job unknown here were found on a worker: does it live?
+void LookUpForeignJob(entry_state& s, micros now, const std::string& id);
+void HandleForeignJob(entry_state& s,
+                      const open_read& read,
+                      const rows_reply& reply);
 
 // ---- [4] Ownership (durable_ownership.cc) -----------------------------------
 
 void Depose(entry_state& s);
 void CheckOwnership(entry_state& s, micros now);
 void ReleaseJobs(entry_state& s, micros now);
-void KeepOwnRow(entry_state& s, micros now);
-void TellFacts(entry_state& s, micros now);
+void MaintainOwnRow(entry_state& s, micros now);
+void RefreshOwnRowFields(entry_state& s, micros now);
 
 // ---- [5] Taking over (durable_adoption.cc) ----------------------------------
 
-void TakeOwners(entry_state& s, micros now, const rows_reply& reply);
-void TakeAdoptionPage(entry_state& s, micros now, const rows_reply& reply);
-void TakeAdoptionWrite(entry_state& s,
-                       micros now,
-                       const open_write& write,
-                       const journal_result& result);
+void HandleOwnersPage(entry_state& s, micros now, const rows_reply& reply);
+void HandleAdoptionPage(entry_state& s, micros now, const rows_reply& reply);
+void HandleAdoptionWrite(entry_state& s,
+                         micros now,
+                         const open_write& write,
+                         const journal_result& result);
 void TickAdoption(entry_state& s, micros now);
 
 }  // namespace cassiaferry
--- a/src/core/entry.cc
+++ b/src/core/entry.cc
@@ -18,7 +18,7 @@
 
 // ---- [1] Events -------------------------------------------------------------
 
-void TakePeers(entry_state& s, std::vector<std::string> addresses) {
+void HandlePeersChanged(entry_state& s, std::vector<std::string> addresses) {
   if (addresses == s.peers)
     return;
   s.peers = std::move(addresses);
@@ -30,42 +30,48 @@
   }
 }
 
-struct entry_event_taker {
+struct entry_event_handler {
   entry_state& s;
   micros now;
 
   void operator()(job_submitted& e) { SubmitJob(s, now, std::move(e)); }
   void operator()(job_invalid& e) { RefuseInvalid(s, now, std::move(e)); }
   void operator()(caller_gone& e) {
-    if (!DropCaller(s, now, e.ticket))
-      DropLeasedCaller(s, now, e.ticket);
+    if (!HandleCallerGone(s, now, e.ticket))
+      HandleLeasedCallerGone(s, now, e.ticket);
   }
-  void operator()(sidecar_frame_received& e) { TakeSidecarFrame(s, now, e); }
-  void operator()(sidecar_link_lost& e) { LoseLink(s, now, e.link); }
+  void operator()(sidecar_frame_received& e) { HandleSidecarFrame(s, now, e); }
+  void operator()(sidecar_link_lost& e) { HandleLinkLost(s, now, e.link); }
   void operator()(config_received& e) { AdoptConfig(s, e.document); }
-  void operator()(closings_read& e) { TakeClosingsRead(s, e.closings); }
-  void operator()(closings_told& e) { TakeClosingsTold(s, e.closings); }
+  void operator()(closed_domains_read& e) {
+    HandleClosedDomainsRead(s, e.closed_set);
+  }
+  void operator()(closed_domains_received& e) {
+    HandleClosedDomainsReceived(s, e.closed_set);
+  }
   void operator()(peers_changed& e) {
-    TakePeers(s, std::move(e.link_addresses));
+    HandlePeersChanged(s, std::move(e.link_addresses));
   }
   void operator()(entry_drain_requested&) {
     s.draining = true;
     s.drain_since = now;
   }
   void operator()(wall_clock& e) { s.wall_ms = e.ms; }
-  void operator()(transaction_reply& e) { OnTransaction(s.claims, now, e); }
-  void operator()(read_reply& e) { OnRead(s.claims, now, e); }
-  void operator()(owner_reply& e) { OnOwner(s.claims, now, e); }
+  void operator()(transaction_reply& e) {
+    OnTransactionReply(s.claims, now, e);
+  }
+  void operator()(read_reply& e) { OnReadReply(s.claims, now, e); }
+  void operator()(owner_reply& e) { OnOwnerReply(s.claims, now, e); }
   void operator()(leased_job_submitted& e) {
     SubmitLeasedJob(s, now, std::move(e));
   }
   void operator()(leased_job_cancelled& e) {
     CancelLeasedJob(s, now, e.ticket, e.id);
   }
-  void operator()(leased_job_asked& e) {
-    TellLeasedState(s, now, e.ticket, e.id);
+  void operator()(leased_job_queried& e) {
+    AnswerLeasedState(s, now, e.ticket, e.id);
   }
-  void operator()(store_answered& e) { TakeStoreAnswer(s, now, e); }
+  void operator()(store_answered& e) { HandleStoreAnswer(s, now, e); }
 };
 
 // ---- [2] Draining -----------------------------------------------------------
@@ -77,24 +83,24 @@
 // can't be written. The stop would wait for ever; after the grace it goes on,
 // and a repeat of that job is told "may have run", as its owner is gone.
 void CheckDrained(entry_state& s, micros now) {
-  if (!s.draining || s.drained_said || !s.jobs.empty() ||
+  if (!s.draining || s.drain_announced || !s.jobs.empty() ||
       !s.leased.jobs.empty() ||
       now - s.drain_since < s.options.leased.drain_accept)
     return;
-  if (!DurableJobsSettled(s, now))
+  if (!DurableJobsDrained(s, now))
     return;
-  if (!ClaimsSettled(s.claims) && now - s.drain_since < s.options.drain_grace)
+  if (!HasNoOpenClaims(s.claims) && now - s.drain_since < s.options.drain_grace)
     return;
   for (worker_row& w : s.workers) {
     if (w.state != worker_link::up)
       continue;
-    w.outbox.goodbye = true;
+    w.outbox.shutdown_notice = true;
     w.must_send = true;
   }
-  s.drained_said = true;
+  s.drain_announced = true;
 }
 
-void TakeClaimActions(entry_state& s) {
+void CollectClaimActions(entry_state& s) {
   for (claim_action& action : s.claims.actions)
     s.actions.emplace_back(std::move(action));
   s.claims.actions.clear();
@@ -123,20 +129,20 @@
   s.actions.clear();
   ++s.metrics.ticks;
   for (entry_event& event : events)
-    std::visit(entry_event_taker{s, now}, event);
+    std::visit(entry_event_handler{s, now}, event);
   CheckDeadlines(s, now);
   CheckWorkers(s, now);
-  MeasureDrain(s, now);
-  DecideClaims(s, now);
+  MeasureDrainRate(s, now);
+  ApplyClaimDecisions(s, now);
   TickClaims(s.claims, now, s.wall_ms);
   Dispatch(s, now);
   TickLeasedJobs(s, now);
-  TellBacklogs(s, now);
-  const bool said_before = s.drained_said;
+  NotifyBacklogs(s, now);
+  const bool said_before = s.drain_announced;
   CheckDrained(s, now);
   FlushWorkers(s, now);
-  TakeClaimActions(s);
-  if (s.drained_said && !said_before)
+  CollectClaimActions(s);
+  if (s.drain_announced && !said_before)
     s.actions.push_back(entry_drained{});
   return std::move(s.actions);
 }
@@ -171,7 +177,7 @@
           {"unresolved", w.unresolved.size()},
           {"ejected", w.health.ejected_until > now},
           {"closed", w.closed},
-          {"closed_domains_version", w.closed_as_of.value},
+          {"closed_domains_version", w.closed_version.value},
           {"speed", w.health.speed},
           {"config_version", w.version.value}};
 }
@@ -214,8 +220,8 @@
       {"draining", s.draining},
       {"config_version", s.document.version.value},
       {"config_author", s.document.author},
-      {"closed_domains", s.closings.known.domains},
-      {"closed_domains_version", s.closings.known.version.value},
+      {"closed_domains", s.closed_domains.known.domains},
+      {"closed_domains_version", s.closed_domains.known.version.value},
       {"peers", s.peers},
       {"jobs", s.jobs.size()},
       {"waiting_tasks", s.waiting_tasks},
@@ -256,13 +262,13 @@
   if (f == s.finished.end())
     return nullptr;
   return {{"job", ToText(id)},
-          {"state", f->why == reason::none ? "complete" : "failed"},
+          {"state", f->cause == reason::none ? "complete" : "failed"},
           {"team", f->team},
           {"policy", f->policy},
           {"tasks", f->tasks},
           {"retries", f->retries},
-          {"verdict", ToText(f->what)},
-          {"reason", ToText(f->why)},
+          {"verdict", ToText(f->run_verdict)},
+          {"reason", ToText(f->cause)},
           {"message", f->message},
           {"response_ms", f->response_ms}};
 }
--- a/src/core/entry_dispatch.cc
+++ b/src/core/entry_dispatch.cc
@@ -59,28 +59,28 @@
   return total <= 0 ? 1 : WeightOf(s, team) / total;
 }
 
-struct waiting_head {
+struct head_job {
   order_key order = kNoBacklog;  // with the team's penalty
   job_seq job;
 };
 
-constexpr int kMaxPassedOver =
+constexpr int kMaxJobsScanned =
     16;  // jobs of a team looked at for one that suits
 
 // The first waiting job that suits, by order and its team's penalty.
 template <typename Suits>
-waiting_head HeadOf(const entry_state& s,
-                    const upstream_row& upstream,
-                    Suits suits) {
-  waiting_head head;
+head_job FindFirstWaiting(const entry_state& s,
+                          const upstream_row& upstream,
+                          Suits suits) {
+  head_job head;
   const bool shared = s.teams.size() > 1;
   for (const auto& [team, queue] : upstream.waiting) {
     int looked_at = 0;
     auto it = queue.begin();
     while (it != queue.end() && !suits(s.jobs.at(it->second)) &&
-           ++looked_at < kMaxPassedOver)
+           ++looked_at < kMaxJobsScanned)
       ++it;
-    if (it == queue.end() || looked_at == kMaxPassedOver)
+    if (it == queue.end() || looked_at == kMaxJobsScanned)
       continue;
     order_key order = it->first;
     if (shared) {
@@ -94,18 +94,18 @@
   return head;
 }
 
-bool SuitsAny(const job_row& /*job*/) {
+bool SuitsAlways(const job_row& /*job*/) {
   return true;
 }
 
 // ---- [2] Sending a task -----------------------------------------------------
 
-uint32_t Unseen(const worker_row& w) {
+uint32_t UnseenStarts(const worker_row& w) {
   return w.starts_sent - w.load.starts_seen;
 }
 
 uint32_t FreeSlotsOf(const worker_row& w) {
-  const uint32_t unseen = Unseen(w);
+  const uint32_t unseen = UnseenStarts(w);
   const uint32_t viewed =
       w.load.free_slots > unseen ? w.load.free_slots - unseen : 0;
   const uint32_t limit = SlotLimit(w);
@@ -144,7 +144,7 @@
   ++s.sent_tasks;
   --s.waiting_tasks;
   --s.upstreams[job.upstream].waiting_tasks;
-  s.metrics.Sent(record_kind::start);
+  s.metrics.CountSent(record_kind::start);
   const double waited_ms =
       static_cast<double>((now - job.arrival).value) / 1000;
   s.policies[job.policy.name].queue_ms.Add(waited_ms);
@@ -174,7 +174,8 @@
   std::vector<worker_choice> choices;
   for (size_t i = 0; i < s.workers.size(); ++i) {
     const worker_row& w = s.workers[i];
-    if (!HasRoom(w, now) || w.upstream.name != job.upstream || !Fits(w, job))
+    if (!HasCapacity(w, now) || w.upstream.name != job.upstream ||
+        !Fits(w, job))
       continue;
     choices.push_back(ChoiceOf(worker_id{static_cast<uint32_t>(i)}, w));
   }
@@ -190,7 +191,7 @@
     case policy_kind::round_robin:
       return PickRoundRobin(choices, s.turn);
     case policy_kind::two_choices:
-      return PickLeastOf(choices, policy.choices, s.random);
+      return PickLeastLoaded(choices, policy.choices, s.random);
     default:
       return PickRandom(choices, s.random);
   }
@@ -219,11 +220,11 @@
         {job.id.seq, order_key{job.order.value - now.value}});
     w.must_send = true;
     ++job.probes[id];
-    s.metrics.Sent(record_kind::probe);
+    s.metrics.CountSent(record_kind::probe);
   }
 }
 
-size_t ProbesOut(const job_row& job) {
+size_t OutstandingProbes(const job_row& job) {
   size_t out = 0;
   for (const auto& [worker, count] : job.probes)
     out += count;
@@ -233,7 +234,7 @@
 // Probes are lost with a stream. A job with fewer probes out than tasks waiting
 // would starve, so the missing ones are sent again.
 void ProbeJob(entry_state& s, micros now, job_row& job) {
-  const size_t out = ProbesOut(job);
+  const size_t out = OutstandingProbes(job);
   if (out >= job.waiting.size())
     return;
   const double ratio = job.policy.probe_ratio;
@@ -245,7 +246,7 @@
 void DeclineOffer(entry_state& s, worker_row& w) {
   ++w.outbox.declines;
   w.must_send = true;
-  s.metrics.Sent(record_kind::decline);
+  s.metrics.CountSent(record_kind::decline);
 }
 
 void AnswerProbeOffer(entry_state& s, micros now, worker_id id, job_seq seq) {
@@ -256,7 +257,7 @@
     if (probe != job->probes.end() && --probe->second == 0)
       job->probes.erase(probe);
   }
-  if (job == nullptr || job->waiting.empty() || !HasRoom(w, now)) {
+  if (job == nullptr || job->waiting.empty() || !HasCapacity(w, now)) {
     DeclineOffer(s, w);
     return;
   }
@@ -284,13 +285,14 @@
 
 // ---- [6] Slot offers --------------------------------------------------------
 
-std::vector<worker_choice> WorkersOf(const entry_state& s,
-                                     micros now,
-                                     const std::string& upstream) {
+std::vector<worker_choice> WorkersWithFreeSlots(const entry_state& s,
+                                                micros now,
+                                                const std::string& upstream) {
   std::vector<worker_choice> workers;
   for (size_t i = 0; i < s.workers.size(); ++i) {
     const worker_row& w = s.workers[i];
-    if (TakesTasks(w, now) && w.upstream.name == upstream && FreeSlotsOf(w) > 0)
+    if (AcceptsTasks(w, now) && w.upstream.name == upstream &&
+        FreeSlotsOf(w) > 0)
       workers.push_back(ChoiceOf(worker_id{static_cast<uint32_t>(i)}, w));
   }
   return workers;
@@ -321,7 +323,7 @@
   return pick ? std::optional(fitting[*pick].id) : std::nullopt;
 }
 
-void SendFrom(entry_state& s, micros now, job_row& job, worker_id worker) {
+void SendNextTask(entry_state& s, micros now, job_row& job, worker_id worker) {
   // A view may be stale. A small job's task is refused then and tried
   // elsewhere; a large job's may as well wait there, which spares two records.
   const bool may_queue = job.waiting.size() >= job.policy.queue_from;
@@ -349,14 +351,14 @@
                   upstream_row& upstream) {
   if (upstream.waiting.empty())
     return;
-  std::vector<worker_choice> workers = WorkersOf(s, now, name);
+  std::vector<worker_choice> workers = WorkersWithFreeSlots(s, now, name);
   std::vector<job_seq> passed_over;
   const auto suits = [&](const job_row& job) {
     return std::find(passed_over.begin(), passed_over.end(), job.id.seq) ==
            passed_over.end();
   };
   while (!workers.empty()) {
-    const waiting_head head = HeadOf(s, upstream, suits);
+    const head_job head = FindFirstWaiting(s, upstream, suits);
     if (head.order == kNoBacklog)
       return;
     job_row& job = s.jobs.at(head.job);
@@ -366,7 +368,7 @@
       passed_over.push_back(head.job);
       continue;
     }
-    SendFrom(s, now, job, *chosen);
+    SendNextTask(s, now, job, *chosen);
     RefreshChoice(s, *chosen, workers);
   }
 }
@@ -389,7 +391,7 @@
       continue;
     w.outbox.probe_cancels.push_back(job.id.seq);
     w.must_send = true;
-    s.metrics.Sent(record_kind::probe_cancel);
+    s.metrics.CountSent(record_kind::probe_cancel);
   }
   job.probes.clear();
 }
@@ -418,9 +420,10 @@
 
 order_key BacklogFor(const entry_state& s, micros now, const worker_row& w) {
   const auto it = s.upstreams.find(w.upstream.name);
-  if (it == s.upstreams.end() || !HasRoom(w, now))
+  if (it == s.upstreams.end() || !HasCapacity(w, now))
     return kNoBacklog;
-  return HeadOf(s, it->second, [&](const job_row& job) { return Fits(w, job); })
+  return FindFirstWaiting(s, it->second,
+                          [&](const job_row& job) { return Fits(w, job); })
       .order;
 }
 
@@ -430,40 +433,40 @@
   return order == kNoBacklog ? kNoBacklog : order_key{order.value - now.value};
 }
 
-void TellBacklog(entry_state& s, micros now, worker_row& w, order_key head) {
+void SendBacklog(entry_state& s, micros now, worker_row& w, order_key head) {
   w.outbox.backlog = RelativeTo(now, head);
   w.must_send = true;
-  w.told = head;
-  s.metrics.Sent(record_kind::backlog);
+  w.backlog_sent = head;
+  s.metrics.CountSent(record_kind::backlog);
 }
 
 // Sidecars that were told of a backlog which is gone would offer slots for
 // nothing: an offer and a decline each. One record spares both.
-void TellCleared(entry_state& s, micros now, worker_row& w) {
-  if (w.told != kNoBacklog && !w.must_send)
-    TellBacklog(s, now, w, kNoBacklog);
+void SendBacklogCleared(entry_state& s, micros now, worker_row& w) {
+  if (w.backlog_sent != kNoBacklog && !w.must_send)
+    SendBacklog(s, now, w, kNoBacklog);
 }
 
-struct telling {
+struct backlog_survey {
   size_t informed =
       0;  // sidecars that believe in a backlog about as early as it is
   std::vector<worker_id> uninformed;  // that don't
 };
 
-telling Survey(const entry_state& s,
-               micros now,
-               const std::string& upstream,
-               const waiting_head& head,
-               int64_t margin) {
+backlog_survey SurveyBacklog(const entry_state& s,
+                             micros now,
+                             const std::string& upstream,
+                             const head_job& head,
+                             int64_t margin) {
   const job_row& job = s.jobs.at(head.job);
-  telling t;
+  backlog_survey t;
   for (size_t i = 0; i < s.workers.size(); ++i) {
     const worker_row& w = s.workers[i];
-    if (!HasRoom(w, now) || w.upstream.name != upstream || !Fits(w, job))
+    if (!HasCapacity(w, now) || w.upstream.name != upstream || !Fits(w, job))
       continue;
     const bool fresh =
-        w.must_send ||
-        (w.told != kNoBacklog && w.told.value <= head.order.value + margin);
+        w.must_send || (w.backlog_sent != kNoBacklog &&
+                        w.backlog_sent.value <= head.order.value + margin);
     if (fresh)
       ++t.informed;
     else
@@ -472,15 +475,15 @@
   return t;
 }
 
-void TellUpstream(entry_state& s,
-                  micros now,
-                  const std::string& name,
-                  const upstream_row& upstream) {
-  const waiting_head head = HeadOf(s, upstream, SuitsAny);
+void NotifyUpstream(entry_state& s,
+                    micros now,
+                    const std::string& name,
+                    const upstream_row& upstream) {
+  const head_job head = FindFirstWaiting(s, upstream, SuitsAlways);
   if (head.order == kNoBacklog) {
     for (worker_row& w : s.workers) {
       if (w.state == worker_link::up && w.upstream.name == name)
-        TellCleared(s, now, w);
+        SendBacklogCleared(s, now, w);
     }
     return;
   }
@@ -490,26 +493,27 @@
   const policy_config& policy = first.policy;
   if (now - first.arrival < Millis(policy.tell_after_ms))
     return;
-  telling t = Survey(s, now, name, head, policy.improve_ms * 1000);
+  backlog_survey t =
+      SurveyBacklog(s, now, name, head, policy.improve_ms * 1000);
   const bool any_told =
       std::any_of(s.workers.begin(), s.workers.end(), [&](const worker_row& w) {
-        return w.told != kNoBacklog && w.upstream.name == name;
+        return w.backlog_sent != kNoBacklog && w.upstream.name == name;
       });
   const size_t wanted = any_told ? policy.improve_fanout : policy.fanout;
   std::shuffle(t.uninformed.begin(), t.uninformed.end(), s.random);
   for (worker_id id : t.uninformed) {
     if (t.informed >= wanted)
       return;
-    TellBacklog(s, now, s.workers[id.value], head.order);
+    SendBacklog(s, now, s.workers[id.value], head.order);
     ++t.informed;
   }
 }
 
 }  // namespace
 
-void TellBacklogs(entry_state& s, micros now) {
+void NotifyBacklogs(entry_state& s, micros now) {
   for (const auto& [name, upstream] : s.upstreams)
-    TellUpstream(s, now, name, upstream);
+    NotifyUpstream(s, now, name, upstream);
 }
 
 }  // namespace cassiaferry
--- a/src/core/entry_health.cc
+++ b/src/core/entry_health.cc
@@ -15,21 +15,21 @@
 
 namespace {
 
-constexpr double kKeep = 0.9;  // weight of the past, with each result
+constexpr double kDecay = 0.9;  // weight of the past, with each result
 constexpr double kMinFailures =
     2.4;  // decayed; about three failed jobs in a row
-constexpr double kEjectRatio = 0.6;   // of a worker's recent results
-constexpr double kOthersRatio = 0.3;  // the others must fail less than this
+constexpr double kEjectRatio = 0.6;      // of a worker's recent results
+constexpr double kMaxOthersRatio = 0.3;  // the others must fail less than this
 constexpr int64_t kFirstEjectionMs = 5000;
 constexpr uint32_t kMaxDoublings = 4;
 constexpr uint32_t kProbationResults = 3;
-constexpr double kSpeedKeep = 0.98;
-constexpr double kMaxRatio =
+constexpr double kSpeedDecay = 0.98;
+constexpr double kMaxRunRatio =
     4;  // of one result: a single long task is no slow worker
-constexpr uint32_t kSpeedSamples = 50;  // before a speed is believed
-constexpr double kSlow = 1.8;           // at this ratio a worker counts as slow
+constexpr uint32_t kMinSpeedSamples = 50;  // before a speed is believed
+constexpr double kSlowRatio = 1.8;  // at this ratio a worker counts as slow
 constexpr int64_t kDrainWindowMs = 250;
-constexpr double kDrainKeep = 0.8;
+constexpr double kDrainDecay = 0.8;
 
 // ---- [1] Failures -----------------------------------------------------------
 
@@ -59,7 +59,7 @@
       std::max(0.0, upstream->second.failed - h.failed);
   const double others =
       others_failed + std::max(0.0, upstream->second.ok - h.ok);
-  if (others > 0 && others_failed > kOthersRatio * others)
+  if (others > 0 && others_failed > kMaxOthersRatio * others)
     return false;
   const size_t ejected = CountWorkers(s, w.upstream.name, true, now);
   return (ejected + 1) * 2 <= CountWorkers(s, w.upstream.name, false, now);
@@ -75,21 +75,21 @@
   h.failed = 0;
 }
 
-void NoteFailure(entry_state& s, micros now, worker_row& w, job_seq job) {
+void RecordFailure(entry_state& s, micros now, worker_row& w, job_seq job) {
   worker_health& h = w.health;
   if (h.last_failed_job == job)
     return;
   h.last_failed_job = job;
-  h.ok *= kKeep;
-  h.failed = h.failed * kKeep + 1;
+  h.ok *= kDecay;
+  h.failed = h.failed * kDecay + 1;
   if (h.probation_left > 0 || IsAtFault(s, w, now))
     Eject(w, now);
 }
 
-void NoteSuccess(worker_row& w) {
+void RecordSuccess(worker_row& w) {
   worker_health& h = w.health;
-  h.ok = h.ok * kKeep + 1;
-  h.failed *= kKeep;
+  h.ok = h.ok * kDecay + 1;
+  h.failed *= kDecay;
   if (h.probation_left == 0)
     return;
   if (--h.probation_left == 0)
@@ -98,43 +98,43 @@
 
 // ---- [2] Speed --------------------------------------------------------------
 
-void NoteSpeed(upstream_row& upstream, worker_health& h, double run_ms) {
+void RecordSpeed(upstream_row& upstream, worker_health& h, double run_ms) {
   upstream.mean_run_ms = upstream.mean_run_ms == 0
                              ? run_ms
                              : upstream.mean_run_ms * 0.99 + run_ms * 0.01;
   if (upstream.mean_run_ms <= 0)
     return;
   h.speed =
-      h.speed * kSpeedKeep +
-      (1 - kSpeedKeep) * std::min(run_ms / upstream.mean_run_ms, kMaxRatio);
-  h.speed_samples = std::min(h.speed_samples + 1, kSpeedSamples);
+      h.speed * kSpeedDecay +
+      (1 - kSpeedDecay) * std::min(run_ms / upstream.mean_run_ms, kMaxRunRatio);
+  h.speed_samples = std::min(h.speed_samples + 1, kMinSpeedSamples);
 }
 
 bool IsSlow(const worker_health& h) {
-  return h.speed_samples >= kSpeedSamples && h.speed > kSlow;
+  return h.speed_samples >= kMinSpeedSamples && h.speed > kSlowRatio;
 }
 
 }  // namespace
 
-void NoteResult(entry_state& s,
-                micros now,
-                worker_row& worker,
-                const job_row& job,
-                const result_record& result) {
+void RecordResult(entry_state& s,
+                  micros now,
+                  worker_row& worker,
+                  const job_row& job,
+                  const result_record& result) {
   upstream_row& upstream = s.upstreams[job.upstream];
   constexpr double kUpstreamKeep = 0.99;
   upstream.ok = upstream.ok * kUpstreamKeep + (result.ok ? 1 : 0);
   upstream.failed = upstream.failed * kUpstreamKeep + (result.ok ? 0 : 1);
-  ++upstream.finished_since;
+  ++upstream.finished_in_window;
   if (!result.ok) {
-    NoteFailure(s, now, worker, job.id.seq);
+    RecordFailure(s, now, worker, job.id.seq);
     return;
   }
-  NoteSuccess(worker);
-  NoteSpeed(upstream, worker.health, result.run_ms);
+  RecordSuccess(worker);
+  RecordSpeed(upstream, worker.health, result.run_ms);
 }
 
-bool TakesTasks(const worker_row& worker, micros now) {
+bool AcceptsTasks(const worker_row& worker, micros now) {
   return worker.state == worker_link::up && !worker.closed &&
          worker.load.state == upstream_state::ready &&
          worker.health.ejected_until <= now;
@@ -150,23 +150,23 @@
       1u, static_cast<uint32_t>(worker.upstream.slots / (h.speed * h.speed)));
 }
 
-bool HasRoom(const worker_row& worker, micros now) {
-  return TakesTasks(worker, now) &&
+bool HasCapacity(const worker_row& worker, micros now) {
+  return AcceptsTasks(worker, now) &&
          worker.unresolved.size() < SlotLimit(worker);
 }
 
 // ---- [3] Drain rate ---------------------------------------------------------
 
-void MeasureDrain(entry_state& s, micros now) {
+void MeasureDrainRate(entry_state& s, micros now) {
   for (auto& [name, upstream] : s.upstreams) {
     const micros passed = now - upstream.drain_updated;
     if (passed < Millis(kDrainWindowMs))
       continue;
     const double rate =
-        upstream.finished_since * 1e6 / static_cast<double>(passed.value);
+        upstream.finished_in_window * 1e6 / static_cast<double>(passed.value);
     upstream.drain_per_s =
-        upstream.drain_per_s * kDrainKeep + rate * (1 - kDrainKeep);
-    upstream.finished_since = 0;
+        upstream.drain_per_s * kDrainDecay + rate * (1 - kDrainDecay);
+    upstream.finished_in_window = 0;
     upstream.drain_updated = now;
   }
 }
--- a/src/core/entry_jobs.cc
+++ b/src/core/entry_jobs.cc
@@ -41,23 +41,23 @@
   return proven ? verdict::not_run : verdict::may_have_run;
 }
 
-void Remember(entry_state& s,
-              micros now,
-              const job_row& job,
-              const failure& why,
-              verdict what) {
+void RecordFinishedJob(entry_state& s,
+                       micros now,
+                       const job_row& job,
+                       const failure& why,
+                       verdict what) {
   finished_job f;
   f.id = job.id;
   f.team = job.team;
   f.policy = job.policy.name;
   f.tasks = job.tasks.size();
   f.retries = job.retries;
-  f.why = why.why;
-  f.what = what;
+  f.cause = why.cause;
+  f.run_verdict = what;
   f.message = why.message;
   f.response_ms = ToMillis(now - job.arrival);
   s.finished.push_back(std::move(f));
-  if (s.finished.size() > s.options.explain_keep)
+  if (s.finished.size() > s.options.explain_history_size)
     s.finished.pop_front();
 }
 
@@ -83,7 +83,7 @@
       continue;
     w.outbox.cancels.push_back(job.id.seq);
     w.must_send = true;
-    s.metrics.Sent(record_kind::cancel);
+    s.metrics.CountSent(record_kind::cancel);
   }
 }
 
@@ -117,10 +117,12 @@
 }
 
 nlohmann::json OutcomeJson(const job_id& id, const failure& why) {
-  return {
-      {"job", ToText(id)},           {"state", "failed"},
-      {"verdict", ToText(why.what)}, {"reason", ToText(why.why)},
-      {"message", why.message},      {"retry_after_ms", why.retry_after_ms}};
+  return {{"job", ToText(id)},
+          {"state", "failed"},
+          {"verdict", ToText(why.run_verdict)},
+          {"reason", ToText(why.cause)},
+          {"message", why.message},
+          {"retry_after_ms", why.retry_after_ms}};
 }
 
 std::string Dump(const nlohmann::json& j) {
@@ -133,7 +135,7 @@
   for (task_row& task : job.tasks)
     answer.outputs.push_back(std::move(task.output));
   CountComplete(s, now, job);
-  Remember(s, now, job, {}, verdict::ran);
+  RecordFinishedJob(s, now, job, {}, verdict::ran);
   if (!job.key.empty())
     EndClaim(s.claims, job.id.seq, verdict::ran,
              Dump(OutcomeJson(job.id, answer.outputs)));
@@ -154,13 +156,13 @@
     return;
   failure f{VerdictOf(*job), why, message, retry_after_ms};
   ++s.metrics.jobs_failed;
-  s.metrics.Refused(why);
-  Remember(s, now, *job, f, f.what);
+  s.metrics.CountRefusal(why);
+  RecordFinishedJob(s, now, *job, f, f.run_verdict);
   if (!job->key.empty()) {
     if (job->claiming)
       AbandonClaim(s.claims, seq);
     else
-      EndClaim(s.claims, seq, f.what, Dump(OutcomeJson(job->id, f)));
+      EndClaim(s.claims, seq, f.run_verdict, Dump(OutcomeJson(job->id, f)));
   }
   answer_failed answer{job->ticket, job->id, std::move(f)};
   RemoveJob(s, *job);
@@ -172,17 +174,17 @@
 // ---- [3] Admission ----------------------------------------------------------
 
 bool CanEverRun(const upstream_row& upstream, const task_request& task) {
-  return task.cores <= upstream.most_cores &&
-         task.memory_mb <= upstream.most_memory_mb;
+  return task.cores <= upstream.max_cores &&
+         task.memory_mb <= upstream.max_memory_mb;
 }
 
-bool AnyWorkerTakes(const entry_state& s,
-                    const std::string& upstream,
-                    micros now) {
-  return std::any_of(s.workers.begin(), s.workers.end(),
-                     [&](const worker_row& w) {
-                       return TakesTasks(w, now) && w.upstream.name == upstream;
-                     });
+bool AnyWorkerAccepts(const entry_state& s,
+                      const std::string& upstream,
+                      micros now) {
+  return std::any_of(
+      s.workers.begin(), s.workers.end(), [&](const worker_row& w) {
+        return AcceptsTasks(w, now) && w.upstream.name == upstream;
+      });
 }
 
 // Waiting tasks that are served before a job with this order.
@@ -312,7 +314,7 @@
                         micros now,
                         const job_request& r,
                         const upstream_row& upstream) {
-  if (upstream.most_cores == 0)
+  if (upstream.max_cores == 0)
     return Refuse(reason::no_worker,
                   "no worker of \"" + r.upstream + "\" has been seen yet",
                   kRetrySoonMs);
@@ -321,7 +323,7 @@
       return Refuse(reason::never_runnable,
                     "a task asks for more cores or memory than any worker has");
   }
-  if (!AnyWorkerTakes(s, r.upstream, now))
+  if (!AnyWorkerAccepts(s, r.upstream, now))
     return Refuse(reason::no_worker,
                   "no worker of \"" + r.upstream + "\" takes work now",
                   kRetrySoonMs);
@@ -330,13 +332,13 @@
 
 failure CheckRequest(entry_state& s, micros now, const job_request& r) {
   failure f = CheckNames(s, r);
-  if (f.why == reason::none)
+  if (f.cause == reason::none)
     f = CheckSize(s, r);
-  if (f.why != reason::none)
+  if (f.cause != reason::none)
     return f;
   const upstream_row& upstream = s.upstreams[r.upstream];
   f = CheckWorkersFor(s, now, r, upstream);
-  if (f.why == reason::none)
+  if (f.cause == reason::none)
     f = CheckLoad(s, r, upstream);
   return f;
 }
@@ -401,11 +403,11 @@
                const job_id& id,
                ticket_id ticket,
                failure f) {
-  s.metrics.Refused(f.why);
+  s.metrics.CountRefusal(f.cause);
   job_row none;
   none.id = id;
   none.arrival = now;
-  Remember(s, now, none, f, f.what);
+  RecordFinishedJob(s, now, none, f, f.run_verdict);
   ++s.metrics.jobs_failed;
   s.actions.push_back(answer_failed{ticket, id, std::move(f)});
 }
@@ -438,14 +440,14 @@
   ++s.metrics.jobs_received;
   const job_id id{s.options.self, job_seq{s.next_job++}};
   failure f = CheckRequest(s, now, event.request);
-  if (f.why != reason::none) {
+  if (f.cause != reason::none) {
     RefuseJob(s, now, id, event.ticket, std::move(f));
     return;
   }
   const uint64_t digest = event.request.digest;
   job_row job = MakeJob(s, now, id, event);
   f = CheckDeadline(s, job, s.upstreams[job.upstream]);
-  if (f.why != reason::none) {
+  if (f.cause != reason::none) {
     RefuseJob(s, now, id, event.ticket, std::move(f));
     return;
   }
@@ -455,7 +457,7 @@
 void RefuseInvalid(entry_state& s, micros now, job_invalid event) {
   ++s.metrics.jobs_received;
   const job_id id{s.options.self, job_seq{s.next_job++}};
-  RefuseJob(s, now, id, event.ticket, std::move(event.why));
+  RefuseJob(s, now, id, event.ticket, std::move(event.error));
 }
 
 // ---- [5] Progress of tasks --------------------------------------------------
@@ -481,12 +483,12 @@
     CompleteJob(s, now, *job);
 }
 
-void ReturnTask(entry_state& s, const task_ref& ref, retry_reason why) {
+void RequeueTask(entry_state& s, const task_ref& ref, retry_reason why) {
   job_row* job = FindJob(s, ref.job);
   if (job == nullptr || ref.index >= job->tasks.size() ||
       job->tasks[ref.index].state != task_state::sent)
     return;
-  s.metrics.Retried(why);
+  s.metrics.CountRetry(why);
   UnqueueJob(s, *job);
   job->tasks[ref.index].state = task_state::waiting;
   job->waiting.push_back(ref.index);
@@ -510,7 +512,7 @@
   }
 }
 
-bool DropCaller(entry_state& s, micros now, ticket_id ticket) {
+bool HandleCallerGone(entry_state& s, micros now, ticket_id ticket) {
   const auto it = s.tickets.find(ticket);
   if (it == s.tickets.end())
     return false;
@@ -537,7 +539,7 @@
   }
 }
 
-void DecideClaim(entry_state& s, micros now, const claim_decision& d) {
+void ApplyClaimDecision(entry_state& s, micros now, const claim_decision& d) {
   job_row* job = FindJob(s, d.job);
   if (job == nullptr)
     return;
@@ -552,20 +554,21 @@
     s.actions.push_back(std::move(answer));
     return;
   }
-  if (d.what == verdict::may_have_run)
+  if (d.run_verdict == verdict::may_have_run)
     job->may_have_run = true;
-  const bool retry =
-      d.why == reason::key_in_progress || d.why == reason::platform_unavailable;
-  FailJob(s, now, d.job, d.why, ClaimMessage(d.why), retry ? kRetrySoonMs : 0);
+  const bool retry = d.cause == reason::key_in_progress ||
+                     d.cause == reason::platform_unavailable;
+  FailJob(s, now, d.job, d.cause, ClaimMessage(d.cause),
+          retry ? kRetrySoonMs : 0);
 }
 
 }  // namespace
 
-void DecideClaims(entry_state& s, micros now) {
+void ApplyClaimDecisions(entry_state& s, micros now) {
   std::vector<claim_decision> decisions;
   decisions.swap(s.claims.decisions);
   for (const claim_decision& d : decisions)
-    DecideClaim(s, now, d);
+    ApplyClaimDecision(s, now, d);
 }
 
 }  // namespace cassiaferry
