--- a/src/core/entry_links.cc
+++ b/src/core/entry_links.cc
@@ -35,21 +35,21 @@
   return id;
 }
 
-void LearnUpstream(entry_state& s, worker_row& w, const upstream_info& info) {
+void UpdateUpstream(entry_state& s, worker_row& w, const upstream_info& info) {
   w.upstream = info;
   upstream_row& upstream = s.upstreams[info.name];
-  upstream.most_cores = std::max(upstream.most_cores, info.cores);
-  upstream.most_memory_mb = std::max(upstream.most_memory_mb, info.memory_mb);
+  upstream.max_cores = std::max(upstream.max_cores, info.cores);
+  upstream.max_memory_mb = std::max(upstream.max_memory_mb, info.memory_mb);
 }
 
 // ---- [2] Losing tasks -------------------------------------------------------
 
 // The fate of these tasks can't be known any more: their jobs fail, saying that
 // they may have run.
-void LoseTasks(entry_state& s,
-               micros now,
-               worker_id id,
-               const std::vector<task_ref>& lost) {
+void FailLostTasks(entry_state& s,
+                   micros now,
+                   worker_id id,
+                   const std::vector<task_ref>& lost) {
   for (const task_ref& task : lost) {
     s.workers[id.value].unresolved.erase(task);
     job_row* job = FindJob(s, task.job);
@@ -61,11 +61,11 @@
   }
 }
 
-std::vector<task_ref> Unresolved(const worker_row& w) {
+std::vector<task_ref> UnresolvedTasks(const worker_row& w) {
   return {w.unresolved.begin(), w.unresolved.end()};
 }
 
-void ForgetProbes(entry_state& s, worker_id id) {
+void DiscardProbes(entry_state& s, worker_id id) {
   for (auto& [seq, job] : s.jobs) {
     if (job.probes.erase(id) != 0 && !job.waiting.empty())
       s.unplaced.insert(seq);
@@ -84,9 +84,9 @@
   w.outbox = {};
   w.must_send = false;
   w.reserved = 0;
-  w.told = kNoBacklog;
-  ForgetProbes(s, id);
-  SuspendPlacing(s, id);
+  w.backlog_sent = kNoBacklog;
+  DiscardProbes(s, id);
+  SuspendPlacement(s, id);
 }
 
 // ---- [3] Greeting -----------------------------------------------------------
@@ -99,43 +99,45 @@
   worker_row& w = s.workers[id.value];
   if (w.sidecar == sidecar)
     return;
-  const std::vector<task_ref> lost = Unresolved(w);
+  const std::vector<task_ref> lost = UnresolvedTasks(w);
   w.sidecar = sidecar;
-  w.memory = 0;
+  w.memory_token = 0;
   w.acked_through = 0;
   w.epoch = {};
   w.health = {};
-  LoseTasks(s, now, id, lost);
+  FailLostTasks(s, now, id, lost);
 }
 
 // A sidecar that is behind gets the closings, once on a stream.
-void CarryClosings(const entry_state& s, worker_row& w, entry_frame& frame) {
-  const domain_closings& known = s.closings.known;
-  frame.closed_as_of = known.version;
-  if (std::max(w.closed_as_of, w.closings_sent) >= known.version)
+void AttachClosedDomains(const entry_state& s,
+                         worker_row& w,
+                         entry_frame& frame) {
+  const closed_domains& known = s.closed_domains.known;
+  frame.closed_version = known.version;
+  if (std::max(w.closed_version, w.closed_version_sent) >= known.version)
     return;
-  frame.closings = known;
-  w.closings_sent = known.version;
+  frame.closed_set = known;
+  w.closed_version_sent = known.version;
 }
 
-entry_frame MakeGreeting(const entry_state& s, worker_row& w) {
+entry_frame MakeHelloFrame(const entry_state& s, worker_row& w) {
   entry_frame frame;
   frame.epoch = w.epoch;
   frame.hello =
-      entry_hello{s.options.self, s.options.link_address, Unresolved(w)};
+      entry_hello{s.options.self, s.options.link_address, UnresolvedTasks(w)};
   frame.peers = s.peers;
   frame.version = s.document.version;
-  CarryClosings(s, w, frame);
+  AttachClosedDomains(s, w, frame);
   return frame;
 }
 
-void Greet(entry_state& s,
-           micros now,
-           link_id link,
-           const sidecar_frame& frame) {
+void HandleHello(entry_state& s,
+                 micros now,
+                 link_id link,
+                 const sidecar_frame& frame) {
   // Failure guarded against: sidecars that have been told goodbye dial again,
   // and the end of this process waits for streams that nobody ends.
-  if (s.drained_said) {
+  if (s.drain_announced) {
     s.actions.push_back(close_link{link});
     return;
   }
@@ -149,23 +151,23 @@
   const bool same_life = w.sidecar == frame.hello->sidecar;
   ReplaceSidecar(s, now, id, frame.hello->sidecar);
   w.failure_domain = frame.hello->failure_domain;
-  w.state = worker_link::greeting;
+  w.state = worker_link::handshake;
   w.link = link;
   w.epoch = frame.epoch;
   w.version = frame.hello->version;
-  w.closed_as_of = frame.hello->closed_as_of;
-  w.closings_sent = {};
-  w.closed = IsClosed(s.closings, w.failure_domain);
+  w.closed_version = frame.hello->closed_version;
+  w.closed_version_sent = {};
+  w.closed = IsClosed(s.closed_domains, w.failure_domain);
   w.wants_config = false;
-  w.last_heard = now;
+  w.last_received = now;
   w.last_sent = now;
   w.starts_sent = 0;
   w.load = {};
   w.outbox = {};
   s.links[link] = id;
-  entry_frame greeting = MakeGreeting(s, w);
+  entry_frame greeting = MakeHelloFrame(s, w);
   if (s.leased.options.enabled)
-    GreetLeases(s, id, same_life, greeting);
+    StartLeaseStream(s, id, same_life, greeting);
   s.actions.push_back(send_to_sidecar{link, std::move(greeting)});
 }
 
@@ -174,24 +176,24 @@
 // The sidecar's memory of this entry has gone, or parts of it. "Never started"
 // is then no proof, and becomes "may have run".
 bool HasForgotten(const worker_row& w, const reconcile_reply& reply) {
-  return w.memory != 0 && w.memory != reply.memory;
+  return w.memory_token != 0 && w.memory_token != reply.memory_token;
 }
 
-void TakeReconcile(entry_state& s,
-                   micros now,
-                   worker_id id,
-                   const reconcile_reply& reply) {
+void HandleReconcile(entry_state& s,
+                     micros now,
+                     worker_id id,
+                     const reconcile_reply& reply) {
   worker_row& w = s.workers[id.value];
   const bool forgotten = HasForgotten(w, reply);
   if (forgotten)
     w.acked_through = 0;
-  w.memory = reply.memory;
+  w.memory_token = reply.memory_token;
   w.state = worker_link::up;
   w.lost_since = micros{0};
-  s.metrics.Sent(record_kind::reconcile, reply.tasks.size());
+  s.metrics.CountSent(record_kind::reconcile, reply.tasks.size());
   std::vector<task_ref> lost;
   for (const reconcile_record& r : reply.tasks) {
-    if (r.fate != task_fate::never_started ||
+    if (r.outcome != task_outcome::never_started ||
         s.workers[id.value].unresolved.count(r.task) == 0)
       continue;
     if (forgotten) {
@@ -199,9 +201,9 @@
       continue;
     }
     s.workers[id.value].unresolved.erase(r.task);
-    ReturnTask(s, r.task, retry_reason::never_started);
+    RequeueTask(s, r.task, retry_reason::never_started);
   }
-  LoseTasks(s, now, id, lost);
+  FailLostTasks(s, now, id, lost);
 }
 
 // ---- [5] Results and rejects ------------------------------------------------
@@ -215,7 +217,7 @@
   FailJob(s, now, job.id.seq, why, message, 0);
 }
 
-std::string TaskText(const result_record& result) {
+std::string FailureText(const result_record& result) {
   constexpr size_t kMaxQuoted = 200;
   return "task " + std::to_string(result.task.index) +
          " failed: " + result.output.substr(0, kMaxQuoted);
@@ -223,66 +225,66 @@
 
 // Failure guarded against: an upstream that refuses everything at once would be
 // asked again a thousand times a second. It gets a pause, and others the task.
-void RefusedByUpstream(entry_state& s,
-                       micros now,
-                       worker_row& w,
-                       const task_ref& task) {
+void HandleUpstreamRefusal(entry_state& s,
+                           micros now,
+                           worker_row& w,
+                           const task_ref& task) {
   w.health.ejected_until =
       std::max(w.health.ejected_until, now + Millis(kBusyPauseMs));
-  ReturnTask(s, task, retry_reason::upstream_busy);
+  RequeueTask(s, task, retry_reason::upstream_busy);
 }
 
-void TakeResult(entry_state& s,
-                micros now,
-                worker_id id,
-                const result_record& result) {
+void HandleResult(entry_state& s,
+                  micros now,
+                  worker_id id,
+                  const result_record& result) {
   worker_row& w = s.workers[id.value];
   if (result.number <= w.acked_through)
     return;
   w.acked_through = result.number;
   job_row* job = FindJob(s, result.task.job);
   if (w.unresolved.erase(result.task) == 0 || job == nullptr) {
-    s.metrics.Retried(retry_reason::late_result);
+    s.metrics.CountRetry(retry_reason::late_result);
     return;
   }
-  if (result.what == verdict::not_run) {
-    RefusedByUpstream(s, now, w, result.task);
+  if (result.run_verdict == verdict::not_run) {
+    HandleUpstreamRefusal(s, now, w, result.task);
     return;
   }
-  NoteResult(s, now, w, *job, result);
-  if (result.what == verdict::may_have_run)
-    FailTask(s, now, *job, reason::worker_lost, TaskText(result));
+  RecordResult(s, now, w, *job, result);
+  if (result.run_verdict == verdict::may_have_run)
+    FailTask(s, now, *job, reason::worker_lost, FailureText(result));
   else if (!result.ok)
-    FailTask(s, now, *job, reason::task_failed, TaskText(result));
+    FailTask(s, now, *job, reason::task_failed, FailureText(result));
   else
     FinishTask(s, now, id, result);
 }
 
-void TakeReject(entry_state& s, worker_id id, const reject_record& reject) {
+void HandleReject(entry_state& s, worker_id id, const reject_record& reject) {
   if (s.workers[id.value].unresolved.erase(reject.task) == 0)
     return;
-  ReturnTask(s, reject.task,
-             reject.timed_out ? retry_reason::queue_timeout
-                              : retry_reason::slot_taken);
+  RequeueTask(s, reject.task,
+              reject.timed_out ? retry_reason::queue_timeout
+                               : retry_reason::slot_taken);
 }
 
 // ---- [6] Frames -------------------------------------------------------------
 
-void TakeBody(entry_state& s,
-              micros now,
-              worker_id id,
-              const sidecar_frame& frame) {
+void HandleBody(entry_state& s,
+                micros now,
+                worker_id id,
+                const sidecar_frame& frame) {
   if (frame.upstream)
-    LearnUpstream(s, s.workers[id.value], *frame.upstream);
+    UpdateUpstream(s, s.workers[id.value], *frame.upstream);
   s.workers[id.value].load = frame.load;
   if (frame.reconcile)
-    TakeReconcile(s, now, id, *frame.reconcile);
+    HandleReconcile(s, now, id, *frame.reconcile);
   for (const result_record& result : frame.results)
-    TakeResult(s, now, id, result);
+    HandleResult(s, now, id, result);
   for (const reject_record& reject : frame.rejects)
-    TakeReject(s, id, reject);
+    HandleReject(s, id, reject);
   if (frame.reports)
-    TakeReports(s, now, id, *frame.reports);
+    HandleReports(s, now, id, *frame.reports);
   AnswerOffers(s, now, id, frame);
 }
 
@@ -290,43 +292,43 @@
 // drains, and the job would fail as "may have run" once its successor shows up.
 // A draining sidecar starts nothing any more, and says goodbye only when every
 // result is acknowledged: what is unresolved now never started.
-void TakeGoodbye(entry_state& s, micros now, worker_id id) {
-  for (const task_ref& task : Unresolved(s.workers[id.value])) {
+void HandleShutdownNotice(entry_state& s, micros now, worker_id id) {
+  for (const task_ref& task : UnresolvedTasks(s.workers[id.value])) {
     s.workers[id.value].unresolved.erase(task);
-    ReturnTask(s, task, retry_reason::never_started);
+    RequeueTask(s, task, retry_reason::never_started);
   }
   DisconnectWorker(s, now, id, true);
 }
 
 }  // namespace
 
-void TakeSidecarFrame(entry_state& s,
-                      micros now,
-                      const sidecar_frame_received& event) {
+void HandleSidecarFrame(entry_state& s,
+                        micros now,
+                        const sidecar_frame_received& event) {
   const sidecar_frame& frame = event.frame;
-  ++s.metrics.frames_taken;
+  ++s.metrics.frames_received;
   if (frame.hello)
-    Greet(s, now, event.link, frame);
+    HandleHello(s, now, event.link, frame);
   const auto link = s.links.find(event.link);
   if (link == s.links.end() ||
       s.workers[link->second.value].epoch != frame.epoch) {
-    s.metrics.Retried(retry_reason::fenced_frame);
+    s.metrics.CountRetry(retry_reason::fenced_frame);
     return;
   }
   const worker_id id = link->second;
   worker_row& w = s.workers[id.value];
-  w.last_heard = now;
+  w.last_received = now;
   w.version = std::max(w.version, frame.version);
   w.wants_config = w.wants_config || frame.wants_config;
-  w.closed_as_of = std::max(w.closed_as_of, frame.closed_as_of);
+  w.closed_version = std::max(w.closed_version, frame.closed_version);
   if (frame.config)
     AdoptConfig(s, *frame.config);
-  if (frame.closings)
-    TakeClosingsTold(s, *frame.closings);
+  if (frame.closed_set)
+    HandleClosedDomainsReceived(s, *frame.closed_set);
   if (!frame.hello)
-    TakeBody(s, now, id, frame);
-  if (frame.goodbye)
-    TakeGoodbye(s, now, id);
+    HandleBody(s, now, id, frame);
+  if (frame.shutdown_notice)
+    HandleShutdownNotice(s, now, id);
 }
 
 void AdoptConfig(entry_state& s, const config_document& document) {
@@ -350,40 +352,40 @@
 // Sidecars learn at once: they are the gate, and refuse what entries with older
 // news still send. Reports that are on their way say that they take work; what
 // they say from now on counts (TakeReports).
-void ApplyClosings(entry_state& s, bool changed) {
+void ApplyClosedDomains(entry_state& s, bool changed) {
   if (changed) {
     // What can't be served any more is refused in this tick.
     s.leased.last_refusal = {};
     for (size_t i = 0; i < s.workers.size(); ++i) {
       worker_row& w = s.workers[i];
-      w.closed = IsClosed(s.closings, w.failure_domain);
+      w.closed = IsClosed(s.closed_domains, w.failure_domain);
       w.must_send = w.must_send || w.state == worker_link::up;
       if (w.closed)
-        SuspendPlacing(s, worker_id{static_cast<uint32_t>(i)});
+        SuspendPlacement(s, worker_id{static_cast<uint32_t>(i)});
     }
   }
-  s.actions.push_back(closings_adopted{s.closings.known, changed});
+  s.actions.push_back(closed_domains_adopted{s.closed_domains.known, changed});
 }
 
 }  // namespace
 
-void TakeClosingsRead(entry_state& s, const domain_closings& read) {
-  const closings_version before = s.closings.known.version;
-  const bool changed = TakeReadClosings(s.closings, read);
-  if (s.closings.known.version != before)
-    ApplyClosings(s, changed);
+void HandleClosedDomainsRead(entry_state& s, const closed_domains& read) {
+  const closed_domains_version before = s.closed_domains.known.version;
+  const bool changed = UpdateClosedDomainsFromStore(s.closed_domains, read);
+  if (s.closed_domains.known.version != before)
+    ApplyClosedDomains(s, changed);
 }
 
-void TakeClosingsTold(entry_state& s, const domain_closings& told) {
-  const closings_version before = s.closings.known.version;
-  const bool changed = TakeToldClosings(s.closings, told);
-  if (s.closings.known.version != before)
-    ApplyClosings(s, changed);
+void HandleClosedDomainsReceived(entry_state& s, const closed_domains& told) {
+  const closed_domains_version before = s.closed_domains.known.version;
+  const bool changed = UpdateClosedDomainsFromPeer(s.closed_domains, told);
+  if (s.closed_domains.known.version != before)
+    ApplyClosedDomains(s, changed);
 }
 
 // ---- [7] Silence and loss ---------------------------------------------------
 
-void LoseLink(entry_state& s, micros now, link_id link) {
+void HandleLinkLost(entry_state& s, micros now, link_id link) {
   const auto it = s.links.find(link);
   if (it != s.links.end())
     DisconnectWorker(s, now, it->second, false);
@@ -391,7 +393,7 @@
 
 namespace {
 
-void NoteActivity(entry_state& s, micros now, worker_id id) {
+void RecordActivity(entry_state& s, micros now, worker_id id) {
   worker_row& w = s.workers[id.value];
   const bool active = !w.unresolved.empty() || LeasesActive(s, id);
   if (!active)
@@ -405,8 +407,9 @@
 bool IsSilent(const entry_state& s, micros now, const worker_row& w) {
   const link_timing& timing = s.options.timing;
   if (w.state == worker_link::up && w.active_since.value == 0)
-    return now - w.last_heard > timing.idle_silence;
-  return now - std::max(w.last_heard, w.active_since) > timing.silence;
+    return now - w.last_received > timing.idle_silence_timeout;
+  return now - std::max(w.last_received, w.active_since) >
+         timing.silence_timeout;
 }
 
 micros HeartbeatOf(const entry_state& s, const worker_row& w) {
@@ -425,17 +428,17 @@
   for (size_t i = 0; i < s.workers.size(); ++i) {
     const worker_id id{static_cast<uint32_t>(i)};
     worker_row& w = s.workers[i];
-    NoteActivity(s, now, id);
+    RecordActivity(s, now, id);
     if (w.state != worker_link::down &&
         (IsSilent(s, now, w) || StartsUnconfirmed(s, now, id)))
       DisconnectWorker(s, now, id, true);
     if (w.state == worker_link::down && !w.unresolved.empty() &&
         now - w.lost_since > s.options.lost_grace)
-      LoseTasks(s, now, id, Unresolved(w));
+      FailLostTasks(s, now, id, UnresolvedTasks(w));
     if (w.state == worker_link::up && !w.must_send &&
         now - w.last_sent >= HeartbeatOf(s, w)) {
       w.must_send = true;
-      s.metrics.Sent(record_kind::heartbeat);
+      s.metrics.CountSent(record_kind::heartbeat);
     }
   }
 }
@@ -444,12 +447,12 @@
 
 namespace {
 
-void CarryConfig(entry_state& s, worker_row& w, entry_frame& frame) {
+void AttachConfig(entry_state& s, worker_row& w, entry_frame& frame) {
   frame.version = s.document.version;
   if (w.wants_config && w.version < s.document.version)
     frame.config = s.document;
   w.wants_config = false;
-  CarryClosings(s, w, frame);
+  AttachClosedDomains(s, w, frame);
 }
 
 uint32_t WaitingTasks(const entry_state& s, const worker_row& w) {
@@ -461,15 +464,15 @@
 // then. Failure guarded against: a worker that is held back (ejected, on
 // probation or slow) would be told of a backlog that it may not serve, and
 // offer its slots for nothing without end. It is told of none.
-void CarryBacklog(const entry_state& s,
-                  micros now,
-                  worker_row& w,
-                  entry_frame& frame) {
+void AttachBacklog(const entry_state& s,
+                   micros now,
+                   worker_row& w,
+                   entry_frame& frame) {
   frame.backlog_tasks = WaitingTasks(s, w);
   if (frame.backlog)
     return;
   const order_key head = BacklogFor(s, now, w);
-  w.told = head;
+  w.backlog_sent = head;
   frame.backlog =
       head == kNoBacklog ? kNoBacklog : order_key{head.value - now.value};
 }
@@ -485,10 +488,10 @@
     w.must_send = false;
     frame.epoch = w.epoch;
     frame.acked_through = w.acked_through;
-    CarryConfig(s, w, frame);
-    CarryBacklog(s, now, w, frame);
+    AttachConfig(s, w, frame);
+    AttachBacklog(s, now, w, frame);
     if (s.leased.options.enabled)
-      CarryOrders(s, now, s.links.at(w.link), frame);
+      AttachOrders(s, now, s.links.at(w.link), frame);
     w.last_sent = now;
     ++s.metrics.frames_sent;
     s.actions.push_back(send_to_sidecar{w.link, std::move(frame)});
--- a/src/core/frame_bytes.cc
+++ b/src/core/frame_bytes.cc
@@ -20,7 +20,7 @@
   return document ? document->json.size() / kPackedTimes + kRecordBytes : 0;
 }
 
-size_t Bytes(const std::optional<domain_closings>& closings) {
+size_t Bytes(const std::optional<closed_domains>& closings) {
   return closings ? kRecordBytes * (1 + closings->domains.size()) : 0;
 }
 
@@ -40,7 +40,7 @@
 size_t Bytes(const lease_orders& orders) {
   return Bytes(orders.starts) +
          kRefBytes * (orders.stops.size() + orders.known.size() +
-                      orders.settled.size());
+                      orders.resolved_ends.size());
 }
 
 size_t Bytes(const lease_reports& reports) {
@@ -52,7 +52,7 @@
 }  // namespace
 
 size_t FrameBytes(const entry_frame& frame) {
-  size_t bytes = kFrameOverhead + Bytes(frame.config) + Bytes(frame.closings);
+  size_t bytes = kFrameOverhead + Bytes(frame.config) + Bytes(frame.closed_set);
   for (const start_record& start : frame.starts)
     bytes += start.payload.size() + kStartBytes;
   bytes += kRecordBytes * (frame.cancels.size() + frame.probes.size() +
@@ -65,7 +65,7 @@
 }
 
 size_t FrameBytes(const sidecar_frame& frame) {
-  size_t bytes = kFrameOverhead + Bytes(frame.config) + Bytes(frame.closings);
+  size_t bytes = kFrameOverhead + Bytes(frame.config) + Bytes(frame.closed_set);
   for (const result_record& result : frame.results)
     bytes += result.output.size() + kRecordBytes;
   bytes += kRecordBytes * (frame.rejects.size() + frame.offers.size());
--- a/src/core/journal.cc
+++ b/src/core/journal.cc
@@ -70,20 +70,20 @@
   return batch;
 }
 
-std::string OwnValue(const journal_state& j) {
-  return "{\"beat\":" + std::to_string(j.beat) +
-         (j.facts.empty() ? "" : "," + j.facts) + "}";
+std::string OwnRowValue(const journal_state& j) {
+  return "{\"beat\":" + std::to_string(j.heartbeat) +
+         (j.own_fields.empty() ? "" : "," + j.own_fields) + "}";
 }
 
 void BuildRows(journal_state& j, open_transaction& t) {
-  ++j.beat;
-  t.own_value = OwnValue(j);
+  ++j.heartbeat;
+  t.own_row_value = OwnRowValue(j);
   t.rows = {};
-  t.rows.expected.push_back({j.own, j.own_version});
-  if (j.wanted || !t.ops.empty())
-    t.rows.sets.push_back({j.own.table, j.own.key, t.own_value});
+  t.rows.expected.push_back({j.own_row, j.own_version});
+  if (j.own_row_wanted || !t.ops.empty())
+    t.rows.sets.push_back({j.own_row.table, j.own_row.key, t.own_row_value});
   else
-    t.rows.removes.push_back(j.own);
+    t.rows.removes.push_back(j.own_row);
   for (const journal_op& op : t.ops)
     Append(t.rows, op.rows);
 }
@@ -100,8 +100,8 @@
 
 // ---- [2] Answers ------------------------------------------------------------
 
-const stored_row* Find(const std::vector<stored_row>& rows,
-                       const row_key& key) {
+const stored_row* FindRow(const std::vector<stored_row>& rows,
+                          const row_key& key) {
   for (const stored_row& row : rows) {
     if (row.table == key.table && row.key == key.key && !row.deleted)
       return &row;
@@ -111,7 +111,7 @@
 
 bool Holds(const row_condition& condition,
            const std::vector<stored_row>& rows) {
-  const stored_row* row = Find(rows, condition.row);
+  const stored_row* row = FindRow(rows, condition.row);
   return (row == nullptr ? 0 : row->version) == condition.version;
 }
 
@@ -120,7 +120,7 @@
                      [&](const row_condition& c) { return Holds(c, rows); });
 }
 
-void Done(journal_state& j, uint64_t version) {
+void HandleCommitted(journal_state& j, uint64_t version) {
   const open_transaction t = std::move(*j.open);
   j.open.reset();
   const bool removed = t.rows.sets.empty();
@@ -130,30 +130,30 @@
     j.results.push_back({op.id, true, version});
 }
 
-void PutBack(journal_state& j, std::vector<journal_op>& ops) {
+void Requeue(journal_state& j, std::vector<journal_op>& ops) {
   while (!ops.empty()) {
     j.waiting.push_front(std::move(ops.back()));
     ops.pop_back();
   }
 }
 
-void Retry(journal_state& j, micros now) {
+void ScheduleRetry(journal_state& j, micros now) {
   constexpr uint32_t kMostDoublings = 8;
   const uint32_t doublings = std::min(j.failures, kMostDoublings);
   ++j.failures;
   j.next_send = now + micros{std::min(j.options.backoff.value << doublings,
-                                      j.options.backoff_most.value)};
+                                      j.options.max_backoff.value)};
 }
 
 // Failure guarded against: the answer to a write is lost after it was done. The
 // copy sent again meets its own beat in the row, which nobody else writes.
-void Conflicted(journal_state& j, const std::vector<stored_row>& rows) {
+void HandleConflict(journal_state& j, const std::vector<stored_row>& rows) {
   open_transaction& t = *j.open;
-  const stored_row* own = Find(rows, j.own);
-  if (!Holds({j.own, j.own_version}, rows)) {
+  const stored_row* own = FindRow(rows, j.own_row);
+  if (!Holds({j.own_row, j.own_version}, rows)) {
     const bool removed = t.rows.sets.empty() && own == nullptr;
-    if (removed || (own != nullptr && own->value == t.own_value)) {
-      Done(j, own == nullptr ? 0 : own->version);
+    if (removed || (own != nullptr && own->value == t.own_row_value)) {
+      HandleCommitted(j, own == nullptr ? 0 : own->version);
       return;
     }
     j.deposed = true;
@@ -169,14 +169,14 @@
     j.results.push_back({op.id, false, 0});
   }
   j.open.reset();
-  PutBack(j, again);
+  Requeue(j, again);
 }
 
 }  // namespace
 
 // ---- [3] Calls --------------------------------------------------------------
 
-journal_op_id Write(journal_state& j, row_transaction rows) {
+journal_op_id EnqueueWrite(journal_state& j, row_transaction rows) {
   const journal_op_id id{j.next_op++};
   j.waiting.push_back({id, std::move(rows)});
   return id;
@@ -187,36 +187,36 @@
                        [&](const journal_op& op) { return op.id == id; }) != 0;
 }
 
-void TakeJournalReply(journal_state& j,
-                      micros now,
-                      uint64_t call,
-                      const rows_reply& reply) {
+void HandleJournalReply(journal_state& j,
+                        micros now,
+                        uint64_t call,
+                        const rows_reply& reply) {
   if (!j.open || j.open->call != call || j.deposed)
     return;
   open_transaction& t = *j.open;
   t.call = 0;
   if (reply.status == store_status::no_answer) {
     t.may_be_done = true;
-    Retry(j, now);
+    ScheduleRetry(j, now);
     return;
   }
   if (reply.status == store_status::ok ||
       reply.status == store_status::conflict) {
     j.failures = 0;
     j.last_answer = now;
-    j.next_send = t.sent + micros{j.options.gather_each.value *
+    j.next_send = t.sent + micros{j.options.batch_interval_per_writer.value *
                                   static_cast<int64_t>(j.writers)};
     if (reply.status == store_status::ok)
-      Done(j, reply.version);
+      HandleCommitted(j, reply.version);
     else
-      Conflicted(j, reply.rows);
+      HandleConflict(j, reply.rows);
     return;
   }
-  Retry(j, now);
+  ScheduleRetry(j, now);
   if (t.may_be_done)
     return;
   // Nothing of it was done, and nothing will be.
-  PutBack(j, t.ops);
+  Requeue(j, t.ops);
   j.open.reset();
 }
 
@@ -229,9 +229,10 @@
     return;
   }
   const bool renewal_due =
-      j.wanted &&
-      now + j.options.lease >= j.leased_until + j.options.renew_every;
-  const bool removal_due = !j.wanted && j.own_version != 0 && j.waiting.empty();
+      j.own_row_wanted &&
+      now + j.options.lease >= j.leased_until + j.options.renew_interval;
+  const bool removal_due =
+      !j.own_row_wanted && j.own_version != 0 && j.waiting.empty();
   if (j.waiting.empty() && !renewal_due && !removal_due)
     return;
   if (j.failures == 0 && !IsUnreachable(j, now))
@@ -247,7 +248,7 @@
 }
 
 bool IsUnreachable(const journal_state& j, micros now) {
-  return j.failures > 0 && now - j.last_answer > j.options.unreachable;
+  return j.failures > 0 && now - j.last_answer > j.options.unreachable_after;
 }
 
 }  // namespace cassiaferry
--- a/src/core/lateness.cc
+++ b/src/core/lateness.cc
@@ -13,61 +13,62 @@
 
 // ---- [1] Clocks of two processes --------------------------------------------
 
-int64_t AboveLeast(clock_gap& gap, micros now, int64_t difference) {
+int64_t DelayAboveMin(clock_offset& gap, micros now, int64_t difference) {
   // Clocks that differ by a percent are 50 ms apart after this.
   constexpr micros kSpan = Millis(5000);
-  if (now - gap.span_began >= kSpan) {
-    gap.span_began = now;
-    gap.least_before = gap.least;
-    gap.least = INT64_MAX;
+  if (now - gap.window_start >= kSpan) {
+    gap.window_start = now;
+    gap.previous_min_difference = gap.min_difference;
+    gap.min_difference = INT64_MAX;
   }
-  gap.least = std::min(gap.least, difference);
-  return difference - std::min(gap.least, gap.least_before);
+  gap.min_difference = std::min(gap.min_difference, difference);
+  return difference - std::min(gap.min_difference, gap.previous_min_difference);
 }
 
 // ---- [2] Lateness -----------------------------------------------------------
 
-void NoteFrame(lateness& l, int64_t above) {
-  l.sum_us +=
-      static_cast<double>(std::clamp<int64_t>(above, 0, l.options.most.value));
+void RecordFrameDelay(lateness& l, int64_t above) {
+  l.sum_us += static_cast<double>(
+      std::clamp<int64_t>(above, 0, l.options.max_frame_delay.value));
   ++l.frames;
 }
 
-void NoteLoopWait(lateness& l, micros waited) {
+void RecordLoopWait(lateness& l, micros waited) {
   l.loop_wait = std::max(l.loop_wait, waited);
 }
 
-void ForgetInterval(lateness& l, micros now) {
+void RestartInterval(lateness& l, micros now) {
   l.sum_us = 0;
   l.frames = 0;
   l.loop_wait = {};
-  l.began = now;
+  l.interval_start = now;
 }
 
 bool IsTooLateFor(const lateness& l, micros spare) {
-  const double late = std::max(l.newest_us, l.mean_us);
+  const double late = std::max(l.last_interval_us, l.mean_us);
   return late > static_cast<double>(l.options.refuse_any_above.value) ||
          2 * late > static_cast<double>(spare.value);
 }
 
 std::optional<bool> TickLateness(lateness& l, micros now) {
-  const micros passed = now - l.began;
+  const micros passed = now - l.interval_start;
   if (passed < l.options.interval)
     return std::nullopt;
   const double newest =
       l.frames == 0 ? 0 : l.sum_us / static_cast<double>(l.frames);
-  const double keep = std::exp(-static_cast<double>(passed.value) /
-                               static_cast<double>(l.options.memory.value));
+  const double keep =
+      std::exp(-static_cast<double>(passed.value) /
+               static_cast<double>(l.options.averaging_time.value));
   l.mean_us = l.mean_us * keep + newest * (1 - keep);
   const bool too_late =
       newest > static_cast<double>(l.options.refuse_above.value);
-  l.newest_us = newest;
+  l.last_interval_us = newest;
   const double change =
-      too_late ? l.options.refuse_change : -l.options.refuse_change;
+      too_late ? l.options.refuse_share_step : -l.options.refuse_share_step;
   l.refuse_share =
-      std::clamp(l.refuse_share + change, 0.0, l.options.refuse_most);
+      std::clamp(l.refuse_share + change, 0.0, l.options.max_refuse_share);
   l.last_loop_wait = l.loop_wait;
-  ForgetInterval(l, now);
+  RestartInterval(l, now);
   const micros bound =
       l.is_late ? l.options.in_time_below : l.options.late_above;
   const bool is_late = l.mean_us > static_cast<double>(bound.value);
--- a/src/core/keeper_ends.cc
+++ b/src/core/lease_manager_ends.cc
@@ -6,12 +6,12 @@
 //   [3] Settling
 //   [4] Owners that are gone
 
-#include "cassiaferry/lease_keeper.h"
+#include "cassiaferry/lease_manager.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "keeper_systems.h"
+#include "lease_manager_systems.h"
 
 namespace cassiaferry {
 
@@ -23,7 +23,7 @@
 // or went badly. Others go with it, or with the next heartbeat: a job of eight
 // tasks on one worker costs its entry one frame instead of eight. Room that
 // waits for a task is offered at once all the same (GrantRoom).
-bool IsUrgent(const keeper_state& k,
+bool IsUrgent(const lease_manager_state& k,
               incarnation owner,
               const run_ref& ref,
               run_end_kind how) {
@@ -44,19 +44,20 @@
 
 }  // namespace
 
-void TellEnd(keeper_state& k,
-             incarnation owner_name,
-             const run_ref& ref,
-             run_end_kind how,
-             uint32_t run_ms,
-             uint64_t listed) {
+void ReportEnd(lease_manager_state& k,
+               incarnation owner_name,
+               const run_ref& ref,
+               run_end_kind how,
+               uint32_t run_ms,
+               uint64_t listed) {
   const auto it = k.owners.find(owner_name);
   if (it == k.owners.end())
     return;
   run_owner& owner = it->second;
   ++k.runs_ended[static_cast<size_t>(how)];
   owner.ends.push_back({{owner.next_end++, ref, how, run_ms}, listed});
-  owner.due = owner.due || IsUrgent(k, owner_name, ref, how);
+  owner.report_pending =
+      owner.report_pending || IsUrgent(k, owner_name, ref, how);
 }
 
 // ---- [2] Holding ------------------------------------------------------------
@@ -64,133 +65,133 @@
 // Failure guarded against: a worker that has been told that an end is known
 // forgets it; if its job's owner dies before it has stored the end, the next
 // owner runs the task again. So the end is acknowledged after it is stored.
-void HoldEnd(keeper_state& k,
+void HoldEnd(lease_manager_state& k,
              micros now,
              incarnation owner,
              const listed_end& end,
              uint32_t run_ms) {
   const bool counts =
-      end.how == run_end_kind::done || end.how == run_end_kind::failed;
+      end.kind == run_end_kind::done || end.kind == run_end_kind::failed;
   if (!counts)
     return;
   const bool claimed = k.owners.count(owner) != 0;
-  k.held[end.number] = {
-      {0, end.ref, end.how, run_ms}, owner, now, claimed, false};
+  k.held_ends[end.number] = {
+      {0, end.ref, end.kind, run_ms}, owner, now, claimed, false};
 }
 
 // Ends up to this number may be forgotten by the worker.
-uint64_t AckedEnds(const keeper_state& k) {
-  return k.held.empty() ? k.seen : k.held.begin()->first - 1;
+uint64_t AckedEnds(const lease_manager_state& k) {
+  return k.held_ends.empty() ? k.seen : k.held_ends.begin()->first - 1;
 }
 
 namespace {
 
-void NoteEnd(keeper_state& k,
-             const kept_run& run,
-             run_end_kind how,
-             uint32_t run_ms) {
-  Note(k, "run ended",
-       ToText(run.start.ref) + ", " + ToText(how) + ", after_ms " +
-           std::to_string(run_ms) + ", owner " + ToHex(run.owner.value));
+void LogEnd(lease_manager_state& k,
+            const managed_run& run,
+            run_end_kind how,
+            uint32_t run_ms) {
+  LogChange(k, "run ended",
+            ToText(run.start.ref) + ", " + ToText(how) + ", after_ms " +
+                std::to_string(run_ms) + ", owner " + ToHex(run.owner.value));
 }
 
 }  // namespace
 
 // `listed`: the worker's number of the end; 0: it listed none.
-void EndRun(keeper_state& k,
+void EndRun(lease_manager_state& k,
             micros now,
             const leased_task& task,
             run_end_kind how,
             uint64_t listed) {
   const auto it = k.runs.find(task);
-  const kept_run run = std::move(it->second);
+  const managed_run run = std::move(it->second);
   k.runs.erase(it);
   k.used = k.used - run.start.need;
-  if (WaitsForRoom(run)) {
-    k.waiting_room = k.waiting_room - run.start.need;
+  if (WaitsForResources(run)) {
+    k.waiting_resources = k.waiting_resources - run.start.need;
     how = listed == 0 ? run_end_kind::never_started : how;
   }
   const auto run_ms = static_cast<uint32_t>(ToMillis(now - run.since));
-  NoteEnd(k, run, how, run_ms);
+  LogEnd(k, run, how, run_ms);
   if (run.start.durable && listed != 0)
     HoldEnd(k, now, run.owner, {listed, run.start.ref, how}, run_ms);
-  TellEnd(k, run.owner, run.start.ref, how, run_ms,
-          k.held.count(listed) != 0 ? listed : 0);
+  ReportEnd(k, run.owner, run.start.ref, how, run_ms,
+            k.held_ends.count(listed) != 0 ? listed : 0);
 }
 
-void EndAll(keeper_state& k, micros now, run_end_kind how) {
+void EndAll(lease_manager_state& k, micros now, run_end_kind how) {
   while (!k.runs.empty())
     EndRun(k, now, leased_task(k.runs.begin()->first), how);
-  k.waiting.clear();
+  k.waiting_starts.clear();
 }
 
 bool HasEnd(const run_owner& owner, const run_ref& ref) {
   return std::any_of(owner.ends.begin(), owner.ends.end(),
-                     [&](const told_end& e) { return e.end.ref == ref; });
+                     [&](const reported_end& e) { return e.end.ref == ref; });
 }
 
 // ---- [3] Settling -----------------------------------------------------------
 
-void AckEnds(keeper_state& k, run_owner& owner, uint64_t through) {
+void AckEnds(lease_manager_state& k, run_owner& owner, uint64_t through) {
   while (!owner.ends.empty() && owner.ends.front().end.number <= through) {
-    k.held.erase(owner.ends.front().listed);
+    k.held_ends.erase(owner.ends.front().worker_end_number);
     owner.ends.pop_front();
-    if (owner.ends_told > 0)
-      --owner.ends_told;
+    if (owner.ends_reported > 0)
+      --owner.ends_reported;
   }
 }
 
 namespace {
 
 // The end stands in no owner's list any more.
-void Unclaim(keeper_state& k, uint64_t listed) {
-  held_end& held = k.held[listed];
+void Unclaim(lease_manager_state& k, uint64_t listed) {
+  held_end& held = k.held_ends[listed];
   held.claimed = false;
   const auto it = k.owners.find(held.owner);
   if (it == k.owners.end())
     return;
-  for (told_end& told : it->second.ends) {
-    if (told.listed == listed)
-      told.listed = 0;
+  for (reported_end& told : it->second.ends) {
+    if (told.worker_end_number == listed)
+      told.worker_end_number = 0;
   }
 }
 
-void BeginLapse(keeper_state& k, micros now) {
-  if (k.lapsing_until.value != 0)
+void BeginLeaseExpiry(lease_manager_state& k, micros now) {
+  if (k.expiry_pending_until.value != 0)
     return;
   // A process before this one may have granted a lease until just before this
   // one met the worker, and by the clock of a life before.
   const micros granted_before =
-      k.life_since + PassedAfter(k.options.bounds.longest);
-  k.lapsing_until =
-      std::max({now, k.lease_over, granted_before}) + k.options.bounds.margin;
-  Note(k, "lease left to lapse",
-       "an end came too late, runs " + std::to_string(k.runs.size()));
+      k.session_since + ElapsedByAnyClock(k.options.bounds.max_lease);
+  k.expiry_pending_until = std::max({now, k.leases_end_at, granted_before}) +
+                           k.options.bounds.margin;
+  LogChange(k, "lease left to lapse",
+            "an end came too late, runs " + std::to_string(k.runs.size()));
 }
 
 }  // namespace
 
-void SettleHeld(keeper_state& k,
-                micros now,
-                incarnation by,
-                const settled_end& settled) {
+void ResolveHeldEnd(lease_manager_state& k,
+                    micros now,
+                    incarnation by,
+                    const resolved_end& settled) {
   constexpr const char* kFates[] = {"forgotten", "lease must lapse",
                                     "offered to others"};
-  for (auto it = k.held.begin(); it != k.held.end(); ++it) {
+  for (auto it = k.held_ends.begin(); it != k.held_ends.end(); ++it) {
     if (it->second.end.ref != settled.ref)
       continue;
-    Note(k, "held end settled",
-         ToText(settled.ref) + ", " +
-             kFates[static_cast<size_t>(settled.fate)] + ", by " +
-             ToHex(by.value));
-    if (settled.fate == end_fate::forget) {
-      k.held.erase(it);
+    LogChange(k, "held end settled",
+              ToText(settled.ref) + ", " +
+                  kFates[static_cast<size_t>(settled.disposition)] + ", by " +
+                  ToHex(by.value));
+    if (settled.disposition == end_disposition::forget) {
+      k.held_ends.erase(it);
       return;
     }
     Unclaim(k, it->first);
-    if (settled.fate == end_fate::lapse) {
-      it->second.lapse = true;
-      BeginLapse(k, now);
+    if (settled.disposition == end_disposition::expire_lease) {
+      it->second.awaits_lease_expiry = true;
+      BeginLeaseExpiry(k, now);
     }
     return;
   }
@@ -198,36 +199,37 @@
 
 // Every run there has ended with the lease: what was to be forgotten after that
 // is.
-void CheckLapse(keeper_state& k, micros now) {
-  if (k.lapsing_until.value == 0 || now < k.lapsing_until)
+void CheckLeaseExpiry(lease_manager_state& k, micros now) {
+  if (k.expiry_pending_until.value == 0 || now < k.expiry_pending_until)
     return;
-  k.lapsing_until = {};
-  std::erase_if(k.held, [](const auto& row) { return row.second.lapse; });
+  k.expiry_pending_until = {};
+  std::erase_if(k.held_ends,
+                [](const auto& row) { return row.second.awaits_lease_expiry; });
 }
 
 // ---- [4] Owners that are gone -----------------------------------------------
 
 namespace {
 
-constexpr size_t kMostUnclaimed = 200;  // in one report
+constexpr size_t kMaxUnclaimed = 200;  // in one report
 
 }  // namespace
 
 // Failure guarded against: the owner of a run that has ended is dead. Whoever
 // takes its jobs over learns from here what their tasks came to.
-std::vector<run_end> UnclaimedEnds(const keeper_state& k, micros now) {
+std::vector<run_end> UnclaimedEnds(const lease_manager_state& k, micros now) {
   std::vector<run_end> ends;
-  for (const auto& [number, held] : k.held) {
-    const bool heard = held.claimed && Vouched(k, now, held.owner) &&
+  for (const auto& [number, held] : k.held_ends) {
+    const bool heard = held.claimed && HasOwnerLease(k, now, held.owner) &&
                        now - held.since < k.options.unclaimed_after;
-    if (!heard && !held.lapse && ends.size() < kMostUnclaimed)
+    if (!heard && !held.awaits_lease_expiry && ends.size() < kMaxUnclaimed)
       ends.push_back(held.end);
   }
   return ends;
 }
 
-void ForgetOwner(keeper_state& k, incarnation owner) {
-  for (auto& [number, held] : k.held)
+void ForgetOwner(lease_manager_state& k, incarnation owner) {
+  for (auto& [number, held] : k.held_ends)
     held.claimed = held.claimed && held.owner != owner;
   k.owners.erase(owner);
 }
--- a/src/core/keeper_pace.cc
+++ b/src/core/lease_manager_pace.cc
@@ -4,12 +4,12 @@
 //   [1] Pace
 //   [2] Stragglers
 
-#include "cassiaferry/lease_keeper.h"
+#include "cassiaferry/lease_manager.h"
 
 #include <algorithm>
 #include <cmath>
 
-#include "keeper_systems.h"
+#include "lease_manager_systems.h"
 
 namespace cassiaferry {
 
@@ -25,19 +25,22 @@
 // Unmeasured for this long, the pace is taken to be half way back to normal.
 constexpr micros kPaceFade = Millis(500);
 
-void TellPace(keeper_state& k) {
-  if (std::abs(k.pace - k.pace_told) < kPaceChange)
+void ReportPace(lease_manager_state& k) {
+  if (std::abs(k.pace - k.reported_pace) < kPaceChange)
     return;
-  Note(k, "pace changed", std::to_string(k.pace));
-  k.pace_told = k.pace;
+  LogChange(k, "pace changed", std::to_string(k.pace));
+  k.reported_pace = k.pace;
   for (auto& [name, owner] : k.owners)
-    owner.due = true;
+    owner.report_pending = true;
 }
 
 }  // namespace
 
 // Takes in what a run has done since it was last measured.
-void AddProgress(keeper_state& k, micros now, kept_run& run, uint32_t percent) {
+void AddProgress(lease_manager_state& k,
+                 micros now,
+                 managed_run& run,
+                 uint32_t percent) {
   const micros from = run.measured_at.value == 0 ? run.since : run.measured_at;
   // Workers report whole percents. Until twice the time of one has passed,
   // nothing done says nothing: a task of 14 s at a look every 50 ms would pass
@@ -55,7 +58,7 @@
 // Failure guarded against: a worker that has turned slow, or on which all
 // stands still, looks free and healthy: it announces itself and takes every
 // start. It shows in how far its runs come, well before any of them ends.
-void MeasurePace(keeper_state& k, micros now) {
+void MeasurePace(lease_manager_state& k, micros now) {
   if (k.pace_time < kPaceSample)
     return;
   const double sample =
@@ -64,16 +67,16 @@
   k.pace_work = 0;
   k.pace_time = {};
   k.pace_at = now;
-  TellPace(k);
+  ReportPace(k);
 }
 
 // A slow worker that gets nothing would be slow for ever.
-void FadePace(keeper_state& k, micros now) {
+void DecayPace(lease_manager_state& k, micros now) {
   if (!k.runs.empty() || now - k.pace_at < kPaceFade)
     return;
   k.pace = (k.pace + 1) / 2;
   k.pace_at = now;
-  TellPace(k);
+  ReportPace(k);
 }
 
 // ---- [2] Stragglers ---------------------------------------------------------
@@ -81,33 +84,33 @@
 namespace {
 
 // At the worker's pace, what is left takes longer than all of it should.
-bool IsStraggler(const keeper_options& o,
-                 const keeper_state& k,
-                 const kept_run& run,
+bool IsStraggler(const lease_manager_options& o,
+                 const lease_manager_state& k,
+                 const managed_run& run,
                  micros age) {
-  if (age < o.straggler_least)
+  if (age < o.straggler_min_age)
     return false;
   const double left = (100.0 - run.percent) / 100 / std::max(0.01, k.pace);
-  return left > o.straggler_times;
+  return left > o.straggler_factor;
 }
 
 }  // namespace
 
-void FindStragglers(keeper_state& k, micros now) {
+void FindStragglers(lease_manager_state& k, micros now) {
   for (auto& [task, run] : k.runs) {
     const micros age = now - run.since;
     if (run.state != run_state::running ||
         !IsStraggler(k.options, k, run, age) ||
-        (run.told_straggling.value != 0 &&
-         now - run.told_straggling < k.options.straggler_again))
+        (run.straggler_reported_at.value != 0 &&
+         now - run.straggler_reported_at < k.options.straggler_report_interval))
       continue;
-    run.told_straggling = now;
+    run.straggler_reported_at = now;
     const auto owner = k.owners.find(run.owner);
     if (owner == k.owners.end())
       continue;
     owner->second.stragglers.push_back(
         {run.start.ref, static_cast<uint32_t>(ToMillis(age)), run.percent});
-    owner->second.due = true;
+    owner->second.report_pending = true;
   }
 }
 
--- a/src/core/leased_admission.cc
+++ b/src/core/leased_admission.cc
@@ -18,30 +18,30 @@
 // fits, cassiaferry-emulate), but estimates are off by other factors elsewhere.
 constexpr double kMarginQuantile = 0.75;
 constexpr double kMarginStep = 0.05;
-constexpr double kLeastMargin = 1;
-constexpr double kMostMargin = 2;
+constexpr double kMinMargin = 1;
+constexpr double kMaxMargin = 2;
 // Arrivals are taken together over this time, and decayed: a burst shows within
 // a few waits of a short job.
-constexpr micros kArrivalSample = Millis(100);
-constexpr micros kArrivalMemory = Millis(300);
+constexpr micros kArrivalInterval = Millis(100);
+constexpr micros kArrivalAveragingTime = Millis(300);
 // More work arrives than this share of what is done: what waits and is late
 // will not find room.
 constexpr double kOverloadShare = 0.9;
 // A burst that is over is worked off: some still arrives.
-constexpr double kNewestShare = 0.5;
+constexpr double kLastSampleShare = 0.5;
 
 }  // namespace
 
 // ---- [1] Predictions --------------------------------------------------------
 
-int64_t WaitingRoom(const leased_job& job) {
+int64_t WaitingCpu(const leased_job& job) {
   int64_t cpu = 0;
   for (uint32_t index : job.waiting)
     cpu += job.steps[job.tasks[index].task.step].need.cpu;
   return cpu;
 }
 
-micros LikelyTime(const leased_state& s, const leased_job& job) {
+micros DurationWithMargin(const leased_state& s, const leased_job& job) {
   const auto it = s.estimates.find(job.queue.name);
   const double margin = it == s.estimates.end() ? 1 : it->second.margin;
   return micros{
@@ -50,31 +50,31 @@
 
 // A quantile that forgets: each sample above it moves it up three times as far
 // as each below moves it down.
-void LearnTime(leased_state& s, const leased_job& job, micros took) {
+void UpdateDurationMargin(leased_state& s, const leased_job& job, micros took) {
   double& margin = s.estimates[job.queue.name].margin;
-  const bool above = took > LikelyTime(s, job);
+  const bool above = took > DurationWithMargin(s, job);
   const double step = above ? kMarginQuantile : kMarginQuantile - 1;
-  margin = std::clamp(margin * std::exp(kMarginStep * step), kLeastMargin,
-                      kMostMargin);
+  margin =
+      std::clamp(margin * std::exp(kMarginStep * step), kMinMargin, kMaxMargin);
 }
 
-void NoteArrival(leased_state& s, const leased_job& job) {
-  s.work_arrived += static_cast<double>(WaitingRoom(job)) *
+void RecordArrival(leased_state& s, const leased_job& job) {
+  s.work_arrived += static_cast<double>(WaitingCpu(job)) *
                     static_cast<double>(job.expected.value);
 }
 
 void MeasureArrivals(leased_state& s, micros now) {
-  const micros passed = now - s.arrivals_measured;
-  if (passed < kArrivalSample)
+  const micros passed = now - s.arrivals_measured_at;
+  if (passed < kArrivalInterval)
     return;
   const auto time = static_cast<double>(passed.value);
   const double keep =
-      std::exp(-time / static_cast<double>(kArrivalMemory.value));
-  s.work_arriving_before = s.work_arriving;
-  s.work_newest = s.work_arrived / time;
-  s.work_arriving = s.work_arriving * keep + s.work_newest * (1 - keep);
+      std::exp(-time / static_cast<double>(kArrivalAveragingTime.value));
+  s.previous_work_arriving = s.work_arriving;
+  s.last_work_sample = s.work_arrived / time;
+  s.work_arriving = s.work_arriving * keep + s.last_work_sample * (1 - keep);
   s.work_arrived = 0;
-  s.arrivals_measured = now;
+  s.arrivals_measured_at = now;
 }
 
 namespace {
@@ -96,7 +96,7 @@
   double work = 0;  // thousandths of a core times microseconds
   for (leased_seq seq : s.waiting) {
     const leased_job& job = s.jobs.at(seq);
-    work += static_cast<double>(WaitingRoom(job)) *
+    work += static_cast<double>(WaitingCpu(job)) *
             static_cast<double>(job.expected.value);
   }
   return work / std::max(1.0, WorkRate(s, free_cpu)) / 1000;
@@ -116,17 +116,17 @@
 // instead of 0.63 of the value is served (cassiaferry-emulate, six seeds).
 bool RefusesLate(const leased_state& s, double rate) {
   return s.options.admission == leased_admission::in_time &&
-         std::min(s.work_arriving, s.work_arriving_before) >
+         std::min(s.work_arriving, s.previous_work_arriving) >
              kOverloadShare * rate &&
-         s.work_newest > kNewestShare * rate;
+         s.last_work_sample > kLastSampleShare * rate;
 }
 
 }  // namespace
 
-std::vector<leased_seq> Hopeless(const leased_state& s,
-                                 const std::vector<leased_seq>& order,
-                                 int64_t free_cpu,
-                                 micros now) {
+std::vector<leased_seq> UnservableJobs(const leased_state& s,
+                                       const std::vector<leased_seq>& order,
+                                       int64_t free_cpu,
+                                       micros now) {
   const double rate = WorkRate(s, free_cpu);
   const bool refuses_late = RefusesLate(s, rate);
   double ahead = 0;
@@ -138,13 +138,13 @@
                                    : int64_t{0}};
     const micros starts =
         now + std::max(for_room, TimeOnLink(s.link, bytes_ahead));
-    const bool useless = starts + job.expected > job.worthless_from;
-    const bool late = starts + LikelyTime(s, job) > job.late_from;
+    const bool useless = starts + job.expected > job.useless_after;
+    const bool late = starts + DurationWithMargin(s, job) > job.late_after;
     if (MayRefuse(job) && (useless || (late && refuses_late))) {
       hopeless.push_back(seq);
       continue;
     }
-    ahead += static_cast<double>(WaitingRoom(job)) *
+    ahead += static_cast<double>(WaitingCpu(job)) *
              static_cast<double>(job.expected.value);
     bytes_ahead += job.payload.size() + kPayloadCopyBytes;
   }
--- a/src/core/leased_admission.h
+++ b/src/core/leased_admission.h
@@ -17,17 +17,17 @@
 // ---- [1] Predictions --------------------------------------------------------
 
 // Processors that the job's waiting tasks need, thousandths of a core.
-int64_t WaitingRoom(const leased_job& job);
+int64_t WaitingCpu(const leased_job& job);
 // From the start of the job to its end, with a margin for what its queue's jobs
 // took beyond the estimate.
-micros LikelyTime(const leased_state& s, const leased_job& job);
+micros DurationWithMargin(const leased_state& s, const leased_job& job);
 // A job of the queue has taken so long from its start.
-void LearnTime(leased_state& s, const leased_job& job, micros took);
+void UpdateDurationMargin(leased_state& s, const leased_job& job, micros took);
 
 // How long what waits takes at the rate at which work is done, milliseconds.
 double DrainMs(const leased_state& s, int64_t free_cpu);
 
-void NoteArrival(leased_state& s, const leased_job& job);
+void RecordArrival(leased_state& s, const leased_job& job);
 // Call each tick.
 void MeasureArrivals(leased_state& s, micros now);
 
@@ -41,10 +41,10 @@
 // more, or they can't be in time and the admission rule asks for that. Each
 // needs processors, and its payload a part of this entry's link. `free_cpu`:
 // room that workers have left, thousandths of a core.
-std::vector<leased_seq> Hopeless(const leased_state& s,
-                                 const std::vector<leased_seq>& order,
-                                 int64_t free_cpu,
-                                 micros now);
+std::vector<leased_seq> UnservableJobs(const leased_state& s,
+                                       const std::vector<leased_seq>& order,
+                                       int64_t free_cpu,
+                                       micros now);
 
 }  // namespace cassiaferry
 
--- a/src/core/leased_choice.cc
+++ b/src/core/leased_choice.cc
@@ -22,13 +22,14 @@
 // ---- [1] Cost ---------------------------------------------------------------
 
 // What is asked of a worker: room for tasks alike, the more the better.
-struct wanted_room {
-  room need;  // of each task
+struct resource_request {
+  resources need;  // of each task
   uint32_t tasks = 1;
 };
 
-uint32_t TasksThatFit(const leased_worker& w, const wanted_room& wanted) {
-  const int64_t by_cpu = FreeNow(w).cpu / std::max<int64_t>(1, wanted.need.cpu);
+uint32_t TasksThatFit(const leased_worker& w, const resource_request& wanted) {
+  const int64_t by_cpu =
+      AvailableResources(w).cpu / std::max<int64_t>(1, wanted.need.cpu);
   return static_cast<uint32_t>(std::clamp<int64_t>(by_cpu, 1, wanted.tasks));
 }
 
@@ -41,7 +42,7 @@
 // entries at 0.8 of the load 20 instead of 45 of 100 starts are refused
 // (cassiaferry-emulate).
 double Cost(const leased_worker& w,
-            const wanted_room& wanted,
+            const resource_request& wanted,
             bool is_far,
             double usual_pace,
             micros now) {
@@ -50,31 +51,32 @@
   constexpr double kAgeWeight = 1;
   constexpr micros kOldWord = Millis(130);  // about a heartbeat
   constexpr double kFarWeight = 1;
-  const room left = FreeNow(w) - wanted.need;
+  const resources left = AvailableResources(w) - wanted.need;
   const double used =
       1 - static_cast<double>(left.cpu) /
               static_cast<double>(std::max<int64_t>(1, w.info.capacity.cpu));
   const double slowness = usual_pace / std::max(0.05, w.pace) - 1;
   const double missing =
       1 - static_cast<double>(TasksThatFit(w, wanted)) / wanted.tasks;
-  const double age = std::min(
-      1.0, static_cast<double>((now - w.heard).value) / kOldWord.value);
+  const double age =
+      std::min(1.0, static_cast<double>((now - w.report_received_at).value) /
+                        kOldWord.value);
   const double sick =
-      std::clamp(slowness, 0.0, 4.0) + w.failing * kFailingWeight;
+      std::clamp(slowness, 0.0, 4.0) + w.failure_share * kFailingWeight;
   // Whether it is well again shows only if it gets something to do.
   const bool probe_due =
-      w.probe_pause.value != 0 && w.open.empty() && now >= w.probe_after;
+      w.probe_pause.value != 0 && w.open_runs.empty() && now >= w.probe_after;
   return used + (probe_due ? 0 : age * kAgeWeight + sick) +
          missing * kPartWeight + (is_far ? kFarWeight : 0);
 }
 
 // Away from its data a task takes longer, and may still be sooner done there
 // than after a wait: other workers are taken when those near it are full.
-void KeepNear(const entry_state& s,
-              const leased_step& step,
-              std::vector<worker_id>& fitting) {
+void KeepPreferred(const entry_state& s,
+                   const leased_step& step,
+                   std::vector<worker_id>& fitting) {
   const auto is_far = [&](worker_id id) {
-    return !HasLabel(s.leased.workers[id.value], step.near);
+    return !HasLabel(s.leased.workers[id.value], step.preferred_label);
   };
   if (!std::all_of(fitting.begin(), fitting.end(), is_far))
     std::erase_if(fitting, is_far);
@@ -92,15 +94,15 @@
 
 }  // namespace
 
-bool MayHoldOneMore(const entry_state& s,
-                    worker_id id,
-                    const leased_job& job,
-                    uint32_t step) {
+bool MayPlaceOneMore(const entry_state& s,
+                     worker_id id,
+                     const leased_job& job,
+                     uint32_t step) {
   const leased_step& needs = job.steps[step];
-  return MayTake(s, id, job, needs) &&
+  return MayPlaceOn(s, id, job, needs) &&
          s.leased.workers[id.value].avoid_until <= s.leased.last_tick &&
-         (needs.most_per_worker == 0 ||
-          TasksOfStepOn(job, step, id) < needs.most_per_worker);
+         (needs.max_per_worker == 0 ||
+          TasksOfStepOn(job, step, id) < needs.max_per_worker);
 }
 
 // ---- [3] Choice -------------------------------------------------------------
@@ -177,10 +179,10 @@
   const leased_step& needs = job.steps[step];
   std::vector<worker_id> fitting;
   for (uint32_t i = 0; i < s.leased.workers.size(); ++i) {
-    if (MayHoldOneMore(s, worker_id{i}, job, step))
+    if (MayPlaceOneMore(s, worker_id{i}, job, step))
       fitting.push_back(worker_id{i});
   }
-  KeepNear(s, needs, fitting);
+  KeepPreferred(s, needs, fitting);
   std::optional<worker_id> best;
   double best_cost = 0;
   for (worker_id id : DrawChoices(s, std::move(fitting))) {
--- a/src/core/leased_closings.cc
+++ b/src/core/leased_closed_domains.cc
@@ -17,14 +17,15 @@
 
 // ---- [1] Work that only closed domains could do -----------------------------
 
-bool OnlyClosedCouldRun(const entry_state& s,
-                        const std::string& upstream,
-                        const leased_step& step) {
+bool OnlyClosedDomainsFit(const entry_state& s,
+                          const std::string& upstream,
+                          const leased_step& step) {
   bool any = false;
   for (uint32_t i = 0; i < s.leased.workers.size(); ++i) {
     const leased_worker& w = s.leased.workers[i];
     const bool could = w.known && w.info.upstream == upstream &&
-                       Fits(step.need, w.largest) && HasLabel(w, step.label);
+                       Fits(step.need, w.max_capacity) &&
+                       HasLabel(w, step.label);
     if (could && !s.workers[i].closed)
       return false;
     any = any || could;
@@ -34,17 +35,17 @@
 
 }  // namespace
 
-bool IsShutOut(const entry_state& s, const leased_job& job) {
-  return !s.closings.known.domains.empty() &&
+bool NeedsClosedDomain(const entry_state& s, const leased_job& job) {
+  return !s.closed_domains.known.domains.empty() &&
          std::any_of(job.steps.begin(), job.steps.end(),
                      [&](const leased_step& step) {
-                       return OnlyClosedCouldRun(s, job.queue.upstream, step);
+                       return OnlyClosedDomainsFit(s, job.queue.upstream, step);
                      });
 }
 
 // Nobody knows when a domain is opened again; many callers should not return at
 // one moment.
-failure ShutOutFailure(entry_state& s) {
+failure ClosedDomainFailure(entry_state& s) {
   constexpr int64_t kRetryMs = 1000;
   constexpr int64_t kSpreadMs = 1000;
   const auto spread = static_cast<int64_t>(s.random() % kSpreadMs);
@@ -53,26 +54,26 @@
           kRetryMs + spread};
 }
 
-void RefuseShutOut(entry_state& s, micros now) {
+void RefuseJobsInClosedDomains(entry_state& s, micros now) {
   std::vector<leased_seq> shut_out;
   for (leased_seq seq : s.leased.waiting) {
     const leased_job& job = s.leased.jobs.at(seq);
-    if (MayRefuse(job) && IsShutOut(s, job))
+    if (MayRefuse(job) && NeedsClosedDomain(s, job))
       shut_out.push_back(seq);
   }
   for (leased_seq seq : shut_out)
     Conclude(s, now, s.leased.jobs.at(seq), leased_outcome::refused,
-             ShutOutFailure(s));
+             ClosedDomainFailure(s));
 }
 
 // ---- [2] Room there ---------------------------------------------------------
 
-int64_t CpuInUseOnClosed(const entry_state& s) {
+int64_t CpuInUseInClosedDomains(const entry_state& s) {
   int64_t cpu = 0;
   for (uint32_t i = 0; i < s.leased.workers.size(); ++i) {
     if (!s.workers[i].closed)
       continue;
-    for (const auto& [ref, seq] : s.leased.workers[i].open) {
+    for (const auto& [ref, seq] : s.leased.workers[i].open_runs) {
       const auto job = s.leased.jobs.find(seq);
       if (job != s.leased.jobs.end())
         cpu += job->second.steps[ref.task.step].need.cpu;
--- a/src/core/leased_jobs.cc
+++ b/src/core/leased_jobs.cc
@@ -21,13 +21,13 @@
 namespace {
 
 // Done within this many times the on-time bound, a late answer is of some use.
-constexpr int64_t kWorthlessTimes = 3;
-constexpr double kEstimateKeep = 0.95;
-constexpr double kFailingKeep = 0.8;
+constexpr int64_t kUselessFactor = 3;
+constexpr double kEstimateDecay = 0.95;
+constexpr double kFailureShareDecay = 0.8;
 // A refused run is not offered to the same worker for this long.
 constexpr micros kAvoidAfterRefusal = Millis(5);
 // The numbers of an earlier entry's runs of the same job are passed in one go.
-constexpr uint32_t kRunStep = 16;
+constexpr uint32_t kRunNumberStep = 16;
 
 }  // namespace
 
@@ -61,10 +61,10 @@
   job.queued = false;
 }
 
-void HoldRoom(leased_state& s,
-              const leased_job& job,
-              const leased_task_row& row,
-              int sign) {
+void AddCpuInUse(leased_state& s,
+                 const leased_job& job,
+                 const leased_task_row& row,
+                 int sign) {
   s.cpu_in_use[job.queue.name] += sign * job.steps[row.task.step].need.cpu;
 }
 
@@ -73,11 +73,11 @@
     if (row.state != leased_task_state::placed)
       continue;
     leased_worker& w = s.leased.workers[row.worker.value];
-    w.open.erase(RefOf(row));
+    w.open_runs.erase(RefOf(row));
     if (s.workers[row.worker.value].state != worker_link::down)
       OrdersFor(s, row.worker).stops.push_back(RefOf(row));
     row.state = leased_task_state::blocked;
-    HoldRoom(s.leased, job, row, -1);
+    AddCpuInUse(s.leased, job, row, -1);
   }
 }
 
@@ -118,7 +118,7 @@
                               &c.jobs_accepted};
   ++*counts[static_cast<size_t>(outcome)];
   if (outcome == leased_outcome::completed)
-    LearnTime(s.leased, job, now - job.started_at);
+    UpdateDurationMargin(s.leased, job, now - job.started_at);
   if (outcome == leased_outcome::completed)
     s.leased.latencies[job.queue.name].response.Add(
         ToMillis(now - job.arrival));
@@ -178,7 +178,7 @@
   job.queued = true;
 }
 
-void Wait(leased_state& s, leased_job& job, uint32_t index) {
+void AddWaitingTask(leased_state& s, leased_job& job, uint32_t index) {
   job.tasks[index].state = leased_task_state::waiting;
   job.waiting.push_back(index);
   Enqueue(s, job);
@@ -208,17 +208,17 @@
       static_cast<int64_t>(static_cast<double>(job.expected.value) *
                            job.queue.stretch) +
       Millis(job.queue.allowance_ms).value};
-  job.late_from = now + on_time;
-  job.worthless_from = now + micros{on_time.value * kWorthlessTimes};
+  job.late_after = now + on_time;
+  job.useless_after = now + micros{on_time.value * kUselessFactor};
   if (wait.value > 0)
     job.deadline = now + wait;
 }
 
 void MakeTasks(leased_job& job, uint32_t first_run) {
-  job.least_cpu = INT64_MAX;
+  job.min_cpu = INT64_MAX;
   for (uint32_t step = 0; step < job.steps.size(); ++step) {
-    job.least_cpu = std::min(job.least_cpu, job.steps[step].need.cpu);
-    job.step_left.push_back(job.steps[step].count);
+    job.min_cpu = std::min(job.min_cpu, job.steps[step].need.cpu);
+    job.step_tasks_left.push_back(job.steps[step].count);
     for (uint32_t i = 0; i < job.steps[step].count; ++i) {
       leased_task_row row;
       row.task = {job.id, 0, step, i};
@@ -233,7 +233,7 @@
 bool IsReleased(const leased_job& job, uint32_t step) {
   const std::vector<uint32_t>& after = job.steps[step].after;
   return std::all_of(after.begin(), after.end(), [&](uint32_t before) {
-    return job.step_left[before] == 0;
+    return job.step_tasks_left[before] == 0;
   });
 }
 
@@ -243,7 +243,7 @@
   for (uint32_t i = 0; i < job.tasks.size(); ++i) {
     if (job.tasks[i].state == leased_task_state::blocked &&
         IsReleased(job, job.tasks[i].task.step))
-      Wait(s, job, i);
+      AddWaitingTask(s, job, i);
   }
 }
 
@@ -298,7 +298,7 @@
       if (!w.known || w.info.upstream != queue.upstream)
         continue;
       any = true;
-      fits = fits || Fits(step.need, w.largest);
+      fits = fits || Fits(step.need, w.max_capacity);
     }
     if (any && !fits)
       return false;
@@ -312,11 +312,11 @@
   if (!s.draining)
     return true;
   // Sidecars have been told goodbye, and the process is about to end.
-  if (s.drained_said)
+  if (s.drain_announced)
     return false;
   const leased_options& o = s.leased.options;
   const micros closes = s.drain_since + o.drain_accept + o.drain_close;
-  return job.late_from < closes;
+  return job.late_after < closes;
 }
 
 leased_job BuildJob(leased_state& l,
@@ -391,8 +391,8 @@
     SubmitDurableJob(s, now, std::move(job));
     return;
   }
-  if (IsShutOut(s, job)) {
-    RefuseTicket(s, event.ticket, job.id, ShutOutFailure(s));
+  if (NeedsClosedDomain(s, job)) {
+    RefuseTicket(s, event.ticket, job.id, ClosedDomainFailure(s));
     return;
   }
   if (!FitsBeforeStop(s, job)) {
@@ -403,10 +403,10 @@
   }
   leased_job& added = AddLeasedJob(l, std::move(job));
   ReleaseTasks(l, added);
-  NoteArrival(l, added);
+  RecordArrival(l, added);
 }
 
-void DropLeasedCaller(entry_state& s, micros now, ticket_id ticket) {
+void HandleLeasedCallerGone(entry_state& s, micros now, ticket_id ticket) {
   leased_state& l = s.leased;
   const auto it = l.tickets.find(ticket);
   if (it == l.tickets.end()) {
@@ -431,23 +431,25 @@
 
 namespace {
 
-void LearnFromRun(entry_state& s,
-                  micros now,
-                  leased_worker& w,
-                  const leased_job& job,
-                  const leased_task_row& row,
-                  const run_end& end) {
+void UpdateEstimates(entry_state& s,
+                     micros now,
+                     leased_worker& w,
+                     const leased_job& job,
+                     const leased_task_row& row,
+                     const run_end& end) {
   const int64_t declared = job.steps[row.task.step].expected_ms;
-  w.failing = w.failing * kFailingKeep +
-              (end.how == run_end_kind::failed ? 1 - kFailingKeep : 0);
-  if (end.how == run_end_kind::failed || IsSick(s, w))
-    NoteBadProbe(w, now);
-  if (end.how != run_end_kind::done || declared <= 0)
+  w.failure_share =
+      w.failure_share * kFailureShareDecay +
+      (end.kind == run_end_kind::failed ? 1 - kFailureShareDecay : 0);
+  if (end.kind == run_end_kind::failed || IsUnhealthy(s, w))
+    RecordBadProbe(w, now);
+  if (end.kind != run_end_kind::done || declared <= 0)
     return;
   queue_estimate& estimate = s.leased.estimates[job.queue.name];
   const double ratio =
       static_cast<double>(end.run_ms) / static_cast<double>(declared);
-  estimate.ratio = estimate.ratio * kEstimateKeep + ratio * (1 - kEstimateKeep);
+  estimate.ratio =
+      estimate.ratio * kEstimateDecay + ratio * (1 - kEstimateDecay);
 }
 
 }  // namespace
@@ -468,11 +470,11 @@
                       leased_task_row& row) {
   row.state = leased_task_state::done;
   ++job.done;
-  --job.step_left[row.task.step];
+  --job.step_tasks_left[row.task.step];
   MarkUnsaved(s, job);
   if (job.done == job.tasks.size())
     EndJob(s, now, job, leased_outcome::completed, {});
-  else if (job.step_left[row.task.step] == 0)
+  else if (job.step_tasks_left[row.task.step] == 0)
     ReleaseTasks(s.leased, job);
 }
 
@@ -497,23 +499,24 @@
                leased_task_row& row,
                run_end_kind how) {
   if (how == run_end_kind::superseded)
-    row.run += kRunStep;
+    row.run += kRunNumberStep;
   const bool failed =
       how == run_end_kind::failed && CountFailedRun(s, now, job, row);
   if (!failed)
-    Wait(s.leased, job, static_cast<uint32_t>(&row - job.tasks.data()));
+    AddWaitingTask(s.leased, job,
+                   static_cast<uint32_t>(&row - job.tasks.data()));
 }
 
 // Ends that this entry concluded from silence have no number.
-std::string WhoToldText(const entry_state& s,
-                        micros now,
-                        worker_id id,
-                        const run_end& end) {
+std::string EndSourceText(const entry_state& s,
+                          micros now,
+                          worker_id id,
+                          const run_end& end) {
   if (end.number != 0)
     return ", told by its sidecar";
   const leased_worker& w = s.leased.workers[id.value];
   return ", its sidecar is silent, last word_ms " +
-         std::to_string(ToMillis(now - w.heard));
+         std::to_string(ToMillis(now - w.report_received_at));
 }
 
 void LogRunEnd(entry_state& s,
@@ -522,15 +525,15 @@
                const leased_job& job,
                const run_end& end) {
   // Refused starts come by the hundred under load: LogRefusedStarts.
-  if (end.how == run_end_kind::done || end.how == run_end_kind::never_started)
+  if (end.kind == run_end_kind::done || end.kind == run_end_kind::never_started)
     return;
   LogJob(s, "run ended", job,
-         std::string(ToText(end.how)) + ", task " +
+         std::string(ToText(end.kind)) + ", task " +
              std::to_string(end.ref.task.step) + "." +
              std::to_string(end.ref.task.index) + ", run " +
              std::to_string(end.ref.run) + ", worker " +
              s.workers[id.value].name + ", after_ms " +
-             std::to_string(end.run_ms) + WhoToldText(s, now, id, end));
+             std::to_string(end.run_ms) + EndSourceText(s, now, id, end));
 }
 
 }  // namespace
@@ -543,7 +546,7 @@
   const std::string* newest = nullptr;
   int refused = 0;
   for (const run_end& end : ends) {
-    if (end.how != run_end_kind::never_started)
+    if (end.kind != run_end_kind::never_started)
       continue;
     ++refused;
     if (newest == nullptr || *newest != end.ref.task.job)
@@ -564,28 +567,31 @@
 
 // Failure guarded against: the starts of a job are all refused, and it counts
 // as begun: it is kept until its caller gives up, though nothing of it has run.
-void NoteWhetherItRan(leased_job& job, run_end_kind how) {
-  job.ran = job.ran || how != run_end_kind::never_started;
-  job.started = job.ran || job.placed > 0;
+void UpdateMayHaveRun(leased_job& job, run_end_kind how) {
+  job.may_have_run = job.may_have_run || how != run_end_kind::never_started;
+  job.started = job.may_have_run || job.placed > 0;
 }
 
 }  // namespace
 
-void TakeEnd(entry_state& s, micros now, worker_id id, const run_end& end) {
+void HandleRunEnd(entry_state& s,
+                  micros now,
+                  worker_id id,
+                  const run_end& end) {
   leased_worker& w = s.leased.workers[id.value];
   if (end.number != 0) {
     if (end.number <= w.acked_end)
       return;
     w.acked_end = end.number;
   }
-  const auto open = w.open.find(end.ref);
-  if (open == w.open.end()) {
-    TakeStrayEnd(s, now, id, end);
+  const auto open = w.open_runs.find(end.ref);
+  if (open == w.open_runs.end()) {
+    HandleOrphanedEnd(s, now, id, end);
     return;
   }
   const leased_seq seq = open->second;
-  w.open.erase(open);
-  ++s.leased.counters.runs_ended[static_cast<size_t>(end.how)];
+  w.open_runs.erase(open);
+  ++s.leased.counters.runs_ended[static_cast<size_t>(end.kind)];
   leased_job* job = FindLeasedJob(s.leased, seq);
   leased_task_row* row =
       job == nullptr ? nullptr : FindTask(*job, end.ref.task);
@@ -593,21 +599,21 @@
       row->run != end.ref.run)
     return;
   --job->placed;
-  HoldRoom(s.leased, *job, *row, -1);
-  NoteWhetherItRan(*job, end.how);
-  LearnFromRun(s, now, w, *job, *row, end);
-  if (end.how == run_end_kind::never_started)
+  AddCpuInUse(s.leased, *job, *row, -1);
+  UpdateMayHaveRun(*job, end.kind);
+  UpdateEstimates(s, now, w, *job, *row, end);
+  if (end.kind == run_end_kind::never_started)
     w.avoid_until = now + kAvoidAfterRefusal;
   LogRunEnd(s, now, id, *job, end);
   // Stored before the sidecar, and so its worker, may forget it.
-  if (end.how == run_end_kind::done || end.how == run_end_kind::failed)
+  if (end.kind == run_end_kind::done || end.kind == run_end_kind::failed)
     AddUnsavedEnd(s, *job, id, end);
-  if (end.how == run_end_kind::lost)
-    DisownRun(s, now, *job, end.ref);
-  if (end.how == run_end_kind::done)
+  if (end.kind == run_end_kind::lost)
+    AbandonRun(s, now, *job, end.ref);
+  if (end.kind == run_end_kind::done)
     FinishLeasedTask(s, now, *job, *row);
   else
-    RetryTask(s, now, *job, *row, end.how);
+    RetryTask(s, now, *job, *row, end.kind);
 }
 
 // ---- [5] Views --------------------------------------------------------------
@@ -652,7 +658,7 @@
       std::count_if(s.overdue.begin(), s.overdue.end(), counts));
   for (const auto& [key, peer] : s.durable.peers) {
     const auto count = peer.waiting.find(queue);
-    if (key != s.durable.journal.own.key && count != peer.waiting.end())
+    if (key != s.durable.journal.own_row.key && count != peer.waiting.end())
       waiting += count->second;
   }
   return waiting;
--- a/src/core/leased_metrics.cc
+++ b/src/core/leased_metrics.cc
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-#include "cassiaferry/lease_keeper.h"
+#include "cassiaferry/lease_manager.h"
 #include "cassiaferry/leased_jobs.h"
 #include "cassiaferry/metrics.h"
 
@@ -37,7 +37,7 @@
   AppendMetric(out, "cassiaferry_durable_deposed_total", "",
                static_cast<double>(c.deposed));
   AppendMetric(out, "cassiaferry_durable_lapses_asked_total", "",
-               static_cast<double>(c.lapses_asked));
+               static_cast<double>(c.expiries_requested));
   AppendMetric(out, "cassiaferry_store_calls_total", "kind=\"transaction\"",
                static_cast<double>(d.journal.transactions));
   AppendMetric(out, "cassiaferry_store_calls_total", "kind=\"read\"",
@@ -92,12 +92,13 @@
   return out;
 }
 
-std::string KeeperPrometheusText(const keeper_state& k, micros now) {
+std::string LeaseManagerPrometheusText(const lease_manager_state& k,
+                                       micros now) {
   std::string out;
   AppendMetric(out, "cassiaferry_worker_takes_work", "",
-               TakesLeasedWork(k, now) ? 1 : 0);
+               AcceptsLeasedWork(k, now) ? 1 : 0);
   AppendMetric(out, "cassiaferry_worker_lives_total", "",
-               static_cast<double>(k.lives_met));
+               static_cast<double>(k.sessions_met));
   AppendMetric(out, "cassiaferry_worker_cpu_capacity", "",
                static_cast<double>(k.worker.capacity.cpu));
   AppendMetric(out, "cassiaferry_worker_cpu_used", "",
@@ -106,15 +107,15 @@
                static_cast<double>(k.runs.size()));
   AppendMetric(out, "cassiaferry_worker_pace", "", k.pace);
   AppendMetric(out, "cassiaferry_worker_ends_held", "",
-               static_cast<double>(k.held.size()));
+               static_cast<double>(k.held_ends.size()));
   AppendMetric(out, "cassiaferry_worker_looks_total", "",
-               static_cast<double>(k.looks_sent));
+               static_cast<double>(k.polls_sent));
   AppendMetric(out, "cassiaferry_worker_calls_unanswered_total", "",
                static_cast<double>(k.calls_unanswered));
   AppendMetric(out, "cassiaferry_worker_starts_waited_total", "",
                static_cast<double>(k.starts_waited));
   AppendMetric(out, "cassiaferry_worker_starts_waited_in_vain_total", "",
-               static_cast<double>(k.starts_waited_in_vain));
+               static_cast<double>(k.starts_wait_expired));
   AppendEnds(out, "cassiaferry_worker_runs_ended_total", k.runs_ended);
   return out;
 }
--- a/src/core/leased_order.cc
+++ b/src/core/leased_order.cc
@@ -29,13 +29,13 @@
 enum class job_rank : uint8_t { started, in_time, late, useless, count_ };
 
 job_rank RankOf(const leased_job& job, micros now) {
-  const bool useless = now + job.expected > job.worthless_from;
+  const bool useless = now + job.expected > job.useless_after;
   if (job.started)
     return useless ? job_rank::late : job_rank::started;
   if (useless)
     return job_rank::useless;
-  return now + job.expected > job.late_from ? job_rank::late
-                                            : job_rank::in_time;
+  return now + job.expected > job.late_after ? job_rank::late
+                                             : job_rank::in_time;
 }
 
 struct ranked_job {
@@ -46,7 +46,7 @@
 
 int64_t KeyOf(leased_order order, const leased_job& job) {
   constexpr int64_t kPriorityStep = int64_t{1} << 48;  // microseconds, 9 years
-  const int64_t start_by = (job.late_from - job.expected).value;
+  const int64_t start_by = (job.late_after - job.expected).value;
   switch (order) {
     case leased_order::first_come:
       return job.arrival.value;
@@ -64,8 +64,8 @@
 // Max-min fair: the next job is of the queue that holds the least. When room is
 // short, queues that ask for little get all of it, and what is missing is
 // missed by those that ask for most.
-std::vector<ranked_job> ShareOut(const std::vector<ranked_job>& jobs,
-                                 std::map<std::string, int64_t>& used) {
+std::vector<ranked_job> InterleaveQueues(const std::vector<ranked_job>& jobs,
+                                         std::map<std::string, int64_t>& used) {
   std::map<std::string, std::deque<ranked_job>> queues;
   for (const ranked_job& job : jobs)
     queues[job.job->queue.name].push_back(job);
@@ -76,7 +76,7 @@
                                          return used[a.first] < used[b.first];
                                        });
     out.push_back(next->second.front());
-    used[next->first] += WaitingRoom(*next->second.front().job);
+    used[next->first] += WaitingCpu(*next->second.front().job);
     next->second.pop_front();
     if (next->second.empty())
       queues.erase(next);
@@ -106,7 +106,7 @@
         rank.begin(), rank.end(),
         [](const ranked_job& a, const ranked_job& b) { return a.key < b.key; });
     if (fair)
-      rank = ShareOut(rank, used);
+      rank = InterleaveQueues(rank, used);
     for (const ranked_job& job : rank)
       order.push_back(job.job->seq);
   }
--- a/src/core/leased_placing.cc
+++ b/src/core/leased_placing.cc
@@ -10,8 +10,8 @@
 #include <string>
 #include <vector>
 
+#include "cassiaferry/compression.h"
 #include "cassiaferry/leased_jobs.h"
-#include "cassiaferry/pack.h"
 #include "entry_systems.h"
 #include "leased_admission.h"
 #include "leased_order.h"
@@ -33,24 +33,24 @@
                worker_id id) {
   leased_task_row& row = job.tasks[index];
   leased_worker& w = s.leased.workers[id.value];
-  const room& need = job.steps[row.task.step].need;
+  const resources& need = job.steps[row.task.step].need;
   ++row.run;
   row.state = leased_task_state::placed;
   row.worker = id;
   row.moving = false;
   ++job.placed;
-  HoldRoom(s.leased, job, row, 1);
+  AddCpuInUse(s.leased, job, row, 1);
   job.started = true;
   ++w.starts_sent;
   w.in_flight.push_back({w.starts_sent, need, now});
-  w.in_flight_room = w.in_flight_room + need;
-  w.open.emplace(RefOf(row), job.seq);
+  w.in_flight_resources = w.in_flight_resources + need;
+  w.open_runs.emplace(RefOf(row), job.seq);
   const double ratio = s.leased.estimates[job.queue.name].ratio;
   const auto expected_ms = static_cast<uint32_t>(
       static_cast<double>(job.steps[row.task.step].expected_ms) * ratio);
   OrdersFor(s, id).starts.push_back({RefOf(row), need, expected_ms, job.payload,
                                      job.durable.stage != durable_stage::none,
-                                     job.payload_packed});
+                                     job.payload_compressed});
   ++s.leased.counters.runs_ordered;
 }
 
@@ -61,7 +61,7 @@
                                           const leased_job& job,
                                           uint32_t step,
                                           uint32_t tasks) {
-  if (!TakesPayload(s.leased.link))
+  if (!MaySendPayload(s.leased.link))
     return std::nullopt;
   const auto worker = ChooseWorker(s, now, job, step, tasks);
   if (worker)
@@ -71,17 +71,17 @@
 
 // Once, however many workers get a copy. Durable jobs are kept as they came:
 // their rows are text.
-void PackPayload(const leased_state& l, leased_job& job) {
+void CompressPayload(const leased_state& l, leased_job& job) {
   constexpr size_t kLeastPacked = 200;  // bytes; less gains nothing
   const bool stored = job.durable.stage != durable_stage::none;
-  if (job.payload_packed || stored || !PacksPayloads(l.link) ||
+  if (job.payload_compressed || stored || !CompressesPayloads(l.link) ||
       job.payload.size() < kLeastPacked)
     return;
-  job.payload = Pack(job.payload);
-  job.payload_packed = true;
+  job.payload = Compress(job.payload);
+  job.payload_compressed = true;
 }
 
-void NoteStart(entry_state& s, micros now, leased_job& job) {
+void RecordJobStart(entry_state& s, micros now, leased_job& job) {
   job.started_at = now;
   s.leased.latencies[job.queue.name].queued.Add(ToMillis(now - job.arrival));
   LogJob(s, "job started", job,
@@ -117,14 +117,14 @@
 // (emulated world). False: one found no room.
 bool PlaceJob(entry_state& s, micros now, leased_job& job) {
   const bool first = !job.started;
-  PackPayload(s.leased, job);
+  CompressPayload(s.leased, job);
   std::vector<uint32_t> left;
   std::vector<uint32_t> placed;
   std::optional<worker_id> worker;
   auto unplaced = static_cast<uint32_t>(job.waiting.size());
   for (uint32_t index : job.waiting) {
     const uint32_t step = job.tasks[index].task.step;
-    if (!worker || !MayHoldOneMore(s, *worker, job, step))
+    if (!worker || !MayPlaceOneMore(s, *worker, job, step))
       worker = ChooseForPayload(s, now, job, step, unplaced);
     --unplaced;
     if (worker)
@@ -132,7 +132,7 @@
     (worker ? placed : left).push_back(index);
   }
   if (first && job.started)
-    NoteStart(s, now, job);
+    RecordJobStart(s, now, job);
   LogPlaced(s, job, placed);
   job.waiting = std::move(left);
   if (job.waiting.empty())
@@ -149,28 +149,28 @@
 // Cheap, and true for most ticks under overload: no worker has room for even
 // the smallest task that waits. Ranking 200 waiting jobs takes 0.1 ms, a tenth
 // of an entry's processor at a thousand ticks a second.
-bool NobodyHasRoom(const entry_state& s) {
+bool NoWorkerHasCapacity(const entry_state& s) {
   int64_t most = 0;
   for (const leased_worker& w : s.leased.workers) {
     if (w.takes_work)
-      most = std::max(most, FreeNow(w).cpu);
+      most = std::max(most, AvailableResources(w).cpu);
   }
   return std::all_of(
       s.leased.waiting.begin(), s.leased.waiting.end(),
-      [&](leased_seq seq) { return s.leased.jobs.at(seq).least_cpu > most; });
+      [&](leased_seq seq) { return s.leased.jobs.at(seq).min_cpu > most; });
 }
 
 }  // namespace
 
 void PlaceWaiting(entry_state& s, micros now) {
-  if (now < s.leased.settle_until)
+  if (now < s.leased.recovery_until)
     return;
-  if (s.leased.waiting.empty() || NobodyHasRoom(s))
+  if (s.leased.waiting.empty() || NoWorkerHasCapacity(s))
     return;
   MeasureUsualPace(s.leased);
   int without_room = 0;
   for (leased_seq seq : ServeOrder(s.leased, now)) {
-    if (!TakesPayload(s.leased.link))
+    if (!MaySendPayload(s.leased.link))
       return;
     leased_job& job = s.leased.jobs[seq];
     if (!MayStart(s, now, job))
@@ -189,7 +189,7 @@
   for (leased_seq seq : l.waiting) {
     const leased_job& job = l.jobs.at(seq);
     if (job.durable.stage == durable_stage::stored &&
-        now + job.expected > job.worthless_from)
+        now + job.expected > job.useless_after)
       overdue.push_back(seq);
   }
   for (leased_seq seq : overdue) {
@@ -210,7 +210,7 @@
     const auto kept = static_cast<int64_t>(
         kSpareShare * static_cast<double>(w.info.capacity.cpu));
     if (w.takes_work)
-      spare += std::max<int64_t>(0, FreeNow(w).cpu - kept);
+      spare += std::max<int64_t>(0, AvailableResources(w).cpu - kept);
   }
   const size_t parts = traffic_is_over ? 1 : l.durable.journal.writers;
   return spare / static_cast<int64_t>(parts);
@@ -230,7 +230,7 @@
   constexpr micros kOverAfter = Millis(1000);  // without a new job
   leased_state& l = s.leased;
   const bool traffic_is_over = now - l.last_durable > kOverAfter;
-  if (l.durable.jobs == 0 || now < l.settle_until ||
+  if (l.durable.jobs == 0 || now < l.recovery_until ||
       now - l.last_overdue < (traffic_is_over ? kOftenEvery : kEvery))
     return;
   l.last_overdue = now;
@@ -247,7 +247,7 @@
       continue;
     const uint32_t before = job.placed;
     const bool placed = PlaceJob(s, now, job);
-    spare -= static_cast<int64_t>(job.placed - before) * job.least_cpu;
+    spare -= static_cast<int64_t>(job.placed - before) * job.min_cpu;
     if (!placed)
       return;
   }
--- a/src/core/leased_systems.h
+++ b/src/core/leased_systems.h
@@ -37,10 +37,10 @@
 void ReleaseTasks(leased_state& s, leased_job& job);
 void Dequeue(leased_state& s, leased_job& job);
 // Processor room that each queue's tasks hold, for their fair shares.
-void HoldRoom(leased_state& s,
-              const leased_job& job,
-              const leased_task_row& row,
-              int sign);
+void AddCpuInUse(leased_state& s,
+                 const leased_job& job,
+                 const leased_task_row& row,
+                 int sign);
 // Sends stops for whatever of the job is placed, and forgets it there. A stop
 // that is lost with its stream is made up for when the next one begins: the
 // run is then not among those this entry names.
@@ -80,7 +80,7 @@
 
 // ---- [3] Ends (leased_jobs.cc) ----------------------------------------------
 
-void TakeEnd(entry_state& s, micros now, worker_id id, const run_end& end);
+void HandleRunEnd(entry_state& s, micros now, worker_id id, const run_end& end);
 void LogRefusedStarts(entry_state& s,
                       worker_id id,
                       const std::vector<run_end>& ends);
@@ -103,17 +103,17 @@
 
 lease_orders& OrdersFor(entry_state& s, worker_id id);
 // Slow against the others, or most of its newest runs failed.
-bool IsSick(const entry_state& s, const leased_worker& w);
+bool IsUnhealthy(const entry_state& s, const leased_worker& w);
 // A run on the worker failed, or was moved off it: if it is sick, the next one
 // waits.
-void NoteBadProbe(leased_worker& w, micros now);
+void RecordBadProbe(leased_worker& w, micros now);
 leased_worker& WorkerOf(entry_state& s, worker_id id);
-room FreeNow(const leased_worker& w);
+resources AvailableResources(const leased_worker& w);
 bool HasLabel(const leased_worker& w, const std::string& label);
-bool MayTake(const entry_state& s,
-             worker_id id,
-             const leased_job& job,
-             const leased_step& step);
+bool MayPlaceOn(const entry_state& s,
+                worker_id id,
+                const leased_job& job,
+                const leased_step& step);
 void MeasureUsualPace(leased_state& l);
 // Runs on workers that have been silent for long enough are over.
 void EndLostRuns(entry_state& s, micros now);
@@ -121,10 +121,10 @@
 // ---- [5] Choosing and placing (leased_choice.cc, leased_placing.cc) ---------
 
 // The worker may have one more task of the job's step.
-bool MayHoldOneMore(const entry_state& s,
-                    worker_id id,
-                    const leased_job& job,
-                    uint32_t step);
+bool MayPlaceOneMore(const entry_state& s,
+                     worker_id id,
+                     const leased_job& job,
+                     uint32_t step);
 // The best of some that fit, with room for most of so many tasks alike.
 std::optional<worker_id> ChooseWorker(entry_state& s,
                                       micros now,
@@ -143,16 +143,17 @@
 // together.
 int64_t RetryAfterMs(entry_state& s);
 
-// ---- [6] Closed failure domains (leased_closings.cc) ------------------------
+// ---- [6] Closed failure domains (leased_closed_domains.cc)
+// ------------------------
 
 // A step of the job could run on workers of closed domains alone.
-bool IsShutOut(const entry_state& s, const leased_job& job);
-failure ShutOutFailure(entry_state& s);
+bool NeedsClosedDomain(const entry_state& s, const leased_job& job);
+failure ClosedDomainFailure(entry_state& s);
 // Refuses what waits, has not started, and is shut out.
-void RefuseShutOut(entry_state& s, micros now);
+void RefuseJobsInClosedDomains(entry_state& s, micros now);
 // Room that this entry's runs hold there, thousandths of a core: it comes back
 // to nobody.
-int64_t CpuInUseOnClosed(const entry_state& s);
+int64_t CpuInUseInClosedDomains(const entry_state& s);
 
 // ---- [7] Durable jobs (durable_jobs.cc, durable_adoption.cc) ----------------
 
@@ -169,16 +170,22 @@
                    const run_end& end);
 // The caller of a job that is being accepted has waited for as long as it
 // could.
-void MissDurableDeadline(entry_state& s, micros now, leased_job& job);
+void HandleDurableDeadline(entry_state& s, micros now, leased_job& job);
 // An end for which this entry has no run open.
-void TakeStrayEnd(entry_state& s, micros now, worker_id id, const run_end& end);
-// Ends that a sidecar keeps for owners it does not hear of.
-void TakeUnclaimedEnds(entry_state& s,
+void HandleOrphanedEnd(entry_state& s,
                        micros now,
                        worker_id id,
-                       const lease_reports& reports);
+                       const run_end& end);
+// Ends that a sidecar keeps for owners it does not hear of.
+void HandleUnclaimedEnds(entry_state& s,
+                         micros now,
+                         worker_id id,
+                         const lease_reports& reports);
 // The run is given up without word of its end.
-void DisownRun(entry_state& s, micros now, leased_job& job, const run_ref& ref);
+void AbandonRun(entry_state& s,
+                micros now,
+                leased_job& job,
+                const run_ref& ref);
 // This entry may start the job's tasks.
 bool MayStart(const entry_state& s, micros now, const leased_job& job);
 void TickDurableJobs(entry_state& s, micros now);
--- a/src/core/leased_tick.cc
+++ b/src/core/leased_tick.cc
@@ -26,23 +26,23 @@
 // Failure guarded against: after an outage workers come back one by one, and by
 // the few that are there first all jobs would look hopeless. While their room
 // grows, and this long after, nothing is refused by how fast work is done.
-constexpr micros kSettledAfterGrowth = Millis(1000);
+constexpr micros kGrowthStabilisationDelay = Millis(1000);
 constexpr int64_t kUnknownRate = int64_t{1} << 50;
 
-void NoteGrowth(entry_state& s, micros now) {
+void RecordCapacityGrowth(entry_state& s, micros now) {
   int64_t cpu = 0;
   for (const leased_worker& w : s.leased.workers)
     cpu += w.takes_work ? w.info.capacity.cpu : 0;
-  if (cpu > s.leased.cpu_taking)
-    s.leased.grown_at = now;
-  s.leased.cpu_taking = cpu;
+  if (cpu > s.leased.accepting_cpu)
+    s.leased.capacity_grown_at = now;
+  s.leased.accepting_cpu = cpu;
 }
 
 int64_t FreeCpu(const entry_state& s) {
   int64_t free = 0;
   for (const leased_worker& w : s.leased.workers) {
     if (w.takes_work)
-      free += std::max<int64_t>(0, FreeNow(w).cpu);
+      free += std::max<int64_t>(0, AvailableResources(w).cpu);
   }
   return free;
 }
@@ -71,7 +71,8 @@
   const double share = s.leased.late.refuse_share;
   if (share <= 0)
     return false;
-  const micros spare = job.late_from - job.arrival - LikelyTime(s.leased, job);
+  const micros spare =
+      job.late_after - job.arrival - DurationWithMargin(s.leased, job);
   return IsTooLateFor(s.leased.late, spare) &&
          std::bernoulli_distribution(share)(s.random);
 }
@@ -88,57 +89,60 @@
 // What refusals of one tick were decided by, for the log: the same for all but
 // the job's own need. Looking at each worker for each of them cost an entry of
 // a tenth of a core 40 ms for 25 jobs.
-struct room_seen {
-  int64_t most_free = 0;  // on one worker, thousandths of a core
-  uint32_t takers = 0;    // workers that take work, and are not to be avoided
+struct free_resources_summary {
+  int64_t max_free_cpu = 0;  // on one worker, thousandths of a core
+  uint32_t usable_workers =
+      0;  // workers that take work, and are not to be avoided
 };
 
-room_seen LookAtRoom(const entry_state& s) {
-  room_seen seen;
+free_resources_summary SummarizeFreeResources(const entry_state& s) {
+  free_resources_summary seen;
   for (const leased_worker& w : s.leased.workers) {
     if (!w.takes_work)
       continue;
-    seen.most_free = std::max(seen.most_free, FreeNow(w).cpu);
-    seen.takers += w.avoid_until <= s.leased.last_tick ? 1 : 0;
+    seen.max_free_cpu = std::max(seen.max_free_cpu, AvailableResources(w).cpu);
+    seen.usable_workers += w.avoid_until <= s.leased.last_tick ? 1 : 0;
   }
   return seen;
 }
 
-std::string RoomText(const entry_state& s,
-                     const room_seen& seen,
-                     const leased_job& job) {
+std::string FreeResourcesText(const entry_state& s,
+                              const free_resources_summary& seen,
+                              const leased_job& job) {
   return "waiting " + std::to_string(s.leased.waiting.size()) +
-         ", least cpu needed " + std::to_string(job.least_cpu) +
-         ", most free on a worker " + std::to_string(seen.most_free) +
-         ", workers not avoided " + std::to_string(seen.takers) + ", " +
+         ", least cpu needed " + std::to_string(job.min_cpu) +
+         ", most free on a worker " + std::to_string(seen.max_free_cpu) +
+         ", workers not avoided " + std::to_string(seen.usable_workers) + ", " +
          LatenessText(s.leased.late);
 }
 
 // What can't be of use any more, and has not run, is refused at once: the
 // caller learns that nothing ran, and when to come back. By the work that
 // stands before a job most such refusals come long before its time is over.
-void RefuseHopeless(entry_state& s, micros now) {
+void RefuseUnservable(entry_state& s, micros now) {
   constexpr micros kEvery = Millis(10);  // ranking takes 0.1 ms for 200 jobs
   if (s.leased.waiting.empty() || now - s.leased.last_refusal < kEvery)
     return;
   s.leased.last_refusal = now;
-  if (!s.closings.known.domains.empty())
-    RefuseShutOut(s, now);
+  if (!s.closed_domains.known.domains.empty())
+    RefuseJobsInClosedDomains(s, now);
   const std::vector<leased_seq> order = ServeOrder(s.leased, now);
-  const bool settled = now - s.leased.grown_at > kSettledAfterGrowth;
+  const bool settled =
+      now - s.leased.capacity_grown_at > kGrowthStabilisationDelay;
   // Without a rate, only what no room could save is hopeless.
   const int64_t free =
-      settled ? FreeCpu(s) - CpuInUseOnClosed(s) : kUnknownRate;
-  const std::vector<leased_seq> hopeless = Hopeless(s.leased, order, free, now);
+      settled ? FreeCpu(s) - CpuInUseInClosedDomains(s) : kUnknownRate;
+  const std::vector<leased_seq> hopeless =
+      UnservableJobs(s.leased, order, free, now);
   if (hopeless.empty())
     return;
-  const room_seen seen = LookAtRoom(s);
+  const free_resources_summary seen = SummarizeFreeResources(s);
   const double drain_ms = DrainMs(s.leased, FreeCpu(s));
   for (leased_seq seq : hopeless) {
     leased_job& job = s.leased.jobs[seq];
     Conclude(s, now, job, leased_outcome::refused,
              {verdict::not_run, reason::deadline_unreachable,
-              "no room in time, " + RoomText(s, seen, job),
+              "no room in time, " + FreeResourcesText(s, seen, job),
               RetryAfterMs(s, drain_ms)});
   }
 }
@@ -148,7 +152,7 @@
          s.leased.deadlines.begin()->first <= now) {
     leased_job& job = s.leased.jobs[s.leased.deadlines.begin()->second];
     if (job.durable.stage != durable_stage::none) {
-      MissDurableDeadline(s, now, job);
+      HandleDurableDeadline(s, now, job);
       continue;
     }
     const verdict what = job.started ? verdict::may_have_run : verdict::not_run;
@@ -163,29 +167,30 @@
 // Workers that are full tell of freed room only to those that wait for some:
 // at once the ones that this entry follows or uses, and all others when these
 // have not helped.
-void AskForRoom(entry_state& s, micros now) {
+void RequestCapacityReports(entry_state& s, micros now) {
   constexpr micros kAskAllAfter = Millis(20);  // a third of a caller's patience
   leased_state& l = s.leased;
   int64_t wanted = 0;
   for (leased_seq seq : l.waiting) {
-    const int64_t least = l.jobs.at(seq).least_cpu;
+    const int64_t least = l.jobs.at(seq).min_cpu;
     wanted = wanted == 0 ? least : std::min(wanted, least);
   }
   const bool began = wanted > 0 && l.wanted_cpu == 0;
   if (began)
     l.wanted_since = now;
   if (wanted == 0 || began)
-    l.asked_all = false;
+    l.requested_from_all = false;
   l.wanted_cpu = wanted;
-  if (wanted == 0 || l.asked_all)
+  if (wanted == 0 || l.requested_from_all)
     return;
   const bool all = now - l.wanted_since > kAskAllAfter;
   if (!began && !all)
     return;
-  l.asked_all = all;
+  l.requested_from_all = all;
   for (uint32_t i = 0; i < l.workers.size(); ++i) {
     const leased_worker& w = l.workers[i];
-    const bool asks = all ? !w.wanted_told : w.follows || !w.open.empty();
+    const bool asks =
+        all ? !w.wanted_cpu_sent : w.follows || !w.open_runs.empty();
     worker_row& row = s.workers[i];
     row.must_send = row.must_send || (asks && row.state == worker_link::up);
   }
@@ -214,11 +219,11 @@
 void LogLinkRate(entry_state& s) {
   constexpr double kTellsAt = 1.5;
   const double rate = s.leased.link.rate;
-  const double told = s.leased.link_rate_told;
+  const double told = s.leased.logged_link_rate;
   const bool same_kind = (rate > 0) == (told > 0);
   if (same_kind && rate <= kTellsAt * told && told <= kTellsAt * rate)
     return;
-  s.leased.link_rate_told = rate;
+  s.leased.logged_link_rate = rate;
   s.actions.push_back(leased_decision{
       rate > 0 ? "link bounded" : "link has no bound", "",
       "bytes_per_s " + std::to_string(static_cast<int64_t>(rate)) +
@@ -238,11 +243,11 @@
 // Failure guarded against: this process was frozen, and wakes with jobs whose
 // callers have gone elsewhere meanwhile. Nothing starts until what lies in its
 // sockets, among it the ends of those connections, has been read.
-void NotePause(leased_state& s, micros now) {
-  if (s.last_tick.value != 0 && now - s.last_tick > s.options.pause) {
+void DetectPause(leased_state& s, micros now) {
+  if (s.last_tick.value != 0 && now - s.last_tick > s.options.pause_threshold) {
     ForgetInterval(s.link, now);
-    ForgetInterval(s.late, now);
-    s.settle_until = now + s.options.settle;
+    RestartInterval(s.late, now);
+    s.recovery_until = now + s.options.recovery_delay;
   }
   s.last_tick = now;
 }
@@ -254,21 +259,21 @@
 void TickLeasedJobs(entry_state& s, micros now) {
   if (!s.leased.options.enabled)
     return;
-  NotePause(s.leased, now);
+  DetectPause(s.leased, now);
   TickUplink(s.leased.link, now,
              std::max(s.leased.late.loop_wait, s.leased.late.last_loop_wait));
   LogLinkRate(s);
   LogLateness(s, now);
   EndLostRuns(s, now);
-  NoteGrowth(s, now);
+  RecordCapacityGrowth(s, now);
   MeasureArrivals(s.leased, now);
   CheckLeasedDeadlines(s, now);
   CloseJobs(s, now);
   FollowWorkers(s, now);
   PlaceWaiting(s, now);
   PlaceOverdue(s, now);
-  RefuseHopeless(s, now);
-  AskForRoom(s, now);
+  RefuseUnservable(s, now);
+  RequestCapacityReports(s, now);
   TickDurableJobs(s, now);
 }
 
--- a/src/core/leased_workers.cc
+++ b/src/core/leased_workers.cc
@@ -24,18 +24,18 @@
 constexpr size_t kSlowProbes = 2;
 // Between runs on a sick worker, doubled with each that goes badly: it should
 // be found well again within a second, and spoil few jobs until then.
-constexpr micros kLeastProbePause = Millis(100);
-constexpr micros kMostProbePause = Millis(800);
+constexpr micros kMinProbePause = Millis(100);
+constexpr micros kMaxProbePause = Millis(800);
 // A worker that failed more than this share of its newest runs gets one at a
 // time. Failure guarded against: one that fails all at once looks free, and
 // would draw, and fail, every task there is.
 constexpr double kFailingShare = 0.5;
 constexpr size_t kFailingProbes = 1;
-constexpr uint32_t kMostMoves = 2;  // of one task off slow workers
+constexpr uint32_t kMaxMoves = 2;  // of one task off slow workers
 // A move gains if the pace is below this share of the others', for the part of
 // the work that is left; at a standstill the task is better off waiting.
-constexpr double kMoveGain = 0.7;
-constexpr double kStandstill = 0.15;
+constexpr double kMoveBelowPaceShare = 0.7;
+constexpr double kStalledPaceShare = 0.15;
 
 }  // namespace
 
@@ -49,8 +49,8 @@
   return *w.outbox.orders;
 }
 
-room FreeNow(const leased_worker& w) {
-  return w.free - w.in_flight_room;
+resources AvailableResources(const leased_worker& w) {
+  return w.free - w.in_flight_resources;
 }
 
 bool HasLabel(const leased_worker& w, const std::string& label) {
@@ -94,23 +94,23 @@
 
 }  // namespace
 
-bool IsSick(const entry_state& s, const leased_worker& w) {
-  return w.failing > kFailingShare || IsSlow(s, w, kSlowShare);
+bool IsUnhealthy(const entry_state& s, const leased_worker& w) {
+  return w.failure_share > kFailingShare || IsSlow(s, w, kSlowShare);
 }
 
 namespace {
 
 // Runs of this entry that the worker may have at once.
 size_t OpenLimit(const entry_state& s, const leased_worker& w) {
-  if (!IsSick(s, w))
+  if (!IsUnhealthy(s, w))
     return SIZE_MAX;
   if (s.leased.last_tick < w.probe_after)
     return 0;
-  return w.failing > kFailingShare ? kFailingProbes : kSlowProbes;
+  return w.failure_share > kFailingShare ? kFailingProbes : kSlowProbes;
 }
 
-bool LeavesSpareRoom(const leased_worker& w, const room& need) {
-  const int64_t free = FreeNow(w).cpu;
+bool LeavesSpareCapacity(const leased_worker& w, const resources& need) {
+  const int64_t free = AvailableResources(w).cpu;
   const int64_t left = free - need.cpu;
   return static_cast<double>(left) >=
              kSpareShare * static_cast<double>(w.info.capacity.cpu) ||
@@ -123,21 +123,22 @@
 // waits goes to the worker on which all stands still, or fails, one after the
 // other. With one of eleven at a standstill and 0.9 of the load 0.97 instead of
 // 0.95 of the value is served (cassiaferry-emulate, sixteen seeds).
-void NoteBadProbe(leased_worker& w, micros now) {
-  w.probe_pause = std::clamp(micros{w.probe_pause.value * 2}, kLeastProbePause,
-                             kMostProbePause);
+void RecordBadProbe(leased_worker& w, micros now) {
+  w.probe_pause = std::clamp(micros{w.probe_pause.value * 2}, kMinProbePause,
+                             kMaxProbePause);
   w.probe_after = now + w.probe_pause;
 }
 
-bool MayTake(const entry_state& s,
-             worker_id id,
-             const leased_job& job,
-             const leased_step& step) {
+bool MayPlaceOn(const entry_state& s,
+                worker_id id,
+                const leased_job& job,
+                const leased_step& step) {
   const leased_worker& w = s.leased.workers[id.value];
   return s.workers[id.value].state == worker_link::up && w.takes_work &&
-         w.info.upstream == job.queue.upstream && Fits(step.need, FreeNow(w)) &&
-         (!job.overdue || LeavesSpareRoom(w, step.need)) &&
-         HasLabel(w, step.label) && w.open.size() < OpenLimit(s, w);
+         w.info.upstream == job.queue.upstream &&
+         Fits(step.need, AvailableResources(w)) &&
+         (!job.overdue || LeavesSpareCapacity(w, step.need)) &&
+         HasLabel(w, step.label) && w.open_runs.size() < OpenLimit(s, w);
 }
 
 leased_worker& WorkerOf(entry_state& s, worker_id id) {
@@ -149,30 +150,31 @@
 namespace {
 
 // Ends up to this number may be forgotten: what was stored, or needs not be.
-uint64_t SavedEnds(const leased_worker& w) {
-  return w.unsaved.empty() ? w.acked_end : *w.unsaved.begin() - 1;
+uint64_t LastSavedEnd(const leased_worker& w) {
+  return w.unsaved_ends.empty() ? w.acked_end : *w.unsaved_ends.begin() - 1;
 }
 
-void TakeSeenStarts(leased_worker& w, uint64_t seen) {
+void HandleConfirmedStarts(leased_worker& w, uint64_t seen) {
   while (!w.in_flight.empty() && w.in_flight.front().sequence <= seen) {
-    w.in_flight_room = w.in_flight_room - w.in_flight.front().need;
+    w.in_flight_resources = w.in_flight_resources - w.in_flight.front().need;
     w.in_flight.pop_front();
   }
 }
 
 // ---- [2] Runs that are lost -------------------------------------------------
 
-void TakeSeenSettlements(leased_worker& w, uint64_t seen) {
-  while (!w.settling.empty() && w.settling.front().sequence <= seen) {
-    w.unsaved.erase(w.settling.front().number);
-    w.settling.pop_front();
+void HandleConfirmedResolutions(leased_worker& w, uint64_t seen) {
+  while (!w.open_resolutions.empty() &&
+         w.open_resolutions.front().sequence <= seen) {
+    w.unsaved_ends.erase(w.open_resolutions.front().end_number);
+    w.open_resolutions.pop_front();
   }
 }
 
 // Failure guarded against: a sidecar is gone, or out of reach, with runs of
 // this entry. They are over, by the bounds of leases, some time after its last
 // word.
-void EndOrphans(entry_state& s, micros now, worker_id id) {
+void EndOrphanedRuns(entry_state& s, micros now, worker_id id) {
   leased_worker& w = s.leased.workers[id.value];
   std::vector<run_ref> over;
   std::erase_if(w.orphaned, [&](const auto& batch) {
@@ -182,19 +184,20 @@
     return true;
   });
   for (const run_ref& ref : over)
-    TakeEnd(s, now, id, {0, ref, run_end_kind::lost, 0});
+    HandleRunEnd(s, now, id, {0, ref, run_end_kind::lost, 0});
 }
 
 // Until then what this entry has sent may keep its runs there alive.
 micros RunsOverAt(const entry_state& s, const leased_worker& w) {
-  return std::max(w.heard, w.vouched) + OverAfter(s.leased.options.bounds);
+  return std::max(w.report_received_at, w.owner_lease_renewed_at) +
+         RunsOverAfter(s.leased.options.bounds);
 }
 
-void Orphan(entry_state& s, leased_worker& w) {
-  if (w.open.empty())
+void OrphanRuns(entry_state& s, leased_worker& w) {
+  if (w.open_runs.empty())
     return;
   std::vector<run_ref> refs;
-  for (const auto& [ref, seq] : w.open)
+  for (const auto& [ref, seq] : w.open_runs)
     refs.push_back(ref);
   w.orphaned.emplace_back(RunsOverAt(s, w), std::move(refs));
 }
@@ -206,8 +209,8 @@
     leased_worker& w = s.leased.workers[i];
     const bool down = s.workers[i].state == worker_link::down;
     if (down && w.orphaned.empty() && now > RunsOverAt(s, w))
-      Orphan(s, w);
-    EndOrphans(s, now, worker_id{i});
+      OrphanRuns(s, w);
+    EndOrphanedRuns(s, now, worker_id{i});
   }
 }
 
@@ -226,41 +229,41 @@
 
 }  // namespace
 
-void GreetLeases(entry_state& s,
-                 worker_id id,
-                 bool same_life,
-                 entry_frame& frame) {
+void StartLeaseStream(entry_state& s,
+                      worker_id id,
+                      bool same_life,
+                      entry_frame& frame) {
   leased_worker& w = WorkerOf(s, id);
   w.starts_sent = 0;
   w.in_flight.clear();
-  w.in_flight_room = {};
+  w.in_flight_resources = {};
   w.frames = {};
   w.takes_work = false;
   if (!same_life) {
-    Orphan(s, w);
+    OrphanRuns(s, w);
     w.acked_end = 0;
-    w.unsaved.clear();
-    w.settling.clear();
-    w.gap = {};
-    ++w.sidecar_life;
+    w.unsaved_ends.clear();
+    w.open_resolutions.clear();
+    w.offset = {};
+    ++w.sidecar_incarnation;
   }
-  w.settled_sent = 0;
+  w.resolutions_sent = 0;
   lease_orders first;
   first.is_first = true;
-  first.acked_end = SavedEnds(w);
-  w.acked_told = SavedEnds(w);
-  w.wanted_told = false;
-  w.follows_told = false;
-  first.taken_end = w.acked_end;
-  for (open_settlement& open : w.settling) {
-    open.sequence = ++w.settled_sent;
-    first.settled.push_back(open.what);
+  first.acked_end = LastSavedEnd(w);
+  w.acked_end_sent = LastSavedEnd(w);
+  w.wanted_cpu_sent = false;
+  w.follows_sent = false;
+  first.last_received_end = w.acked_end;
+  for (open_resolution& open : w.open_resolutions) {
+    open.sequence = ++w.resolutions_sent;
+    first.resolved_ends.push_back(open.what);
   }
   // Runs of an earlier life of the sidecar are not its to explain.
   std::set<run_ref> earlier;
   for (const auto& [over_at, refs] : w.orphaned)
     earlier.insert(refs.begin(), refs.end());
-  for (const auto& [ref, seq] : w.open) {
+  for (const auto& [ref, seq] : w.open_runs) {
     if (earlier.count(ref) != 0)
       continue;
     first.known.push_back(ref);
@@ -275,9 +278,9 @@
     return false;
   const leased_worker& w = s.leased.workers[id.value];
   const bool waits = s.leased.wanted_cpu != 0;
-  return !w.open.empty() || !w.settling.empty() || !w.unsaved.empty() ||
-         w.acked_told != SavedEnds(w) || (w.wanted_told && !waits) ||
-         w.follows_told != w.follows;
+  return !w.open_runs.empty() || !w.open_resolutions.empty() ||
+         !w.unsaved_ends.empty() || w.acked_end_sent != LastSavedEnd(w) ||
+         (w.wanted_cpu_sent && !waits) || w.follows_sent != w.follows;
 }
 
 bool StartsUnconfirmed(const entry_state& s, micros now, worker_id id) {
@@ -285,10 +288,10 @@
     return false;
   const leased_worker& w = s.leased.workers[id.value];
   return !w.in_flight.empty() &&
-         now - w.in_flight.front().sent > s.options.timing.silence;
+         now - w.in_flight.front().sent > s.options.timing.silence_timeout;
 }
 
-void SuspendPlacing(entry_state& s, worker_id id) {
+void SuspendPlacement(entry_state& s, worker_id id) {
   leased_worker& w = WorkerOf(s, id);
   w.takes_work = false;
 }
@@ -297,12 +300,12 @@
 
 namespace {
 
-bool AnotherHasRoom(const entry_state& s,
-                    worker_id not_this,
-                    const leased_job& job,
-                    const leased_step& step) {
+bool AnotherWorkerHasCapacity(const entry_state& s,
+                              worker_id not_this,
+                              const leased_job& job,
+                              const leased_step& step) {
   for (uint32_t i = 0; i < s.leased.workers.size(); ++i) {
-    if (worker_id{i} != not_this && MayTake(s, worker_id{i}, job, step))
+    if (worker_id{i} != not_this && MayPlaceOn(s, worker_id{i}, job, step))
       return true;
   }
   return false;
@@ -316,22 +319,23 @@
                    worker_id id,
                    const straggler& slow) {
   const leased_worker& w = s.leased.workers[id.value];
-  const auto open = w.open.find(slow.ref);
-  if (open == w.open.end())
+  const auto open = w.open_runs.find(slow.ref);
+  if (open == w.open_runs.end())
     return;
   leased_job* job = FindLeasedJob(s.leased, open->second);
   leased_task_row* row =
       job == nullptr ? nullptr : FindTask(*job, slow.ref.task);
-  if (row == nullptr || row->moving || row->moved >= kMostMoves)
+  if (row == nullptr || row->moving || row->moves >= kMaxMoves)
     return;
   const double left = (100.0 - slow.percent) / 100;
-  const bool gains = IsSlow(s, w, left * kMoveGain) &&
-                     AnotherHasRoom(s, id, *job, job->steps[row->task.step]);
-  if (!gains && !IsSlow(s, w, left * kStandstill))
+  const bool gains =
+      IsSlow(s, w, left * kMoveBelowPaceShare) &&
+      AnotherWorkerHasCapacity(s, id, *job, job->steps[row->task.step]);
+  if (!gains && !IsSlow(s, w, left * kStalledPaceShare))
     return;
   row->moving = true;
-  ++row->moved;
-  NoteBadProbe(s.leased.workers[id.value], now);
+  ++row->moves;
+  RecordBadProbe(s.leased.workers[id.value], now);
   OrdersFor(s, id).stops.push_back(slow.ref);
   LogJob(s, "run stopped to move it", *job,
          "ran_ms " + std::to_string(slow.run_ms) + ", percent " +
@@ -344,38 +348,39 @@
 
 // ---- [5] Frames -------------------------------------------------------------
 
-void TakeReports(entry_state& s,
-                 micros now,
-                 worker_id id,
-                 const lease_reports& reports) {
+void HandleReports(entry_state& s,
+                   micros now,
+                   worker_id id,
+                   const lease_reports& reports) {
   leased_worker& w = WorkerOf(s, id);
-  w.stamp = reports.stamp;
-  w.heard = now;
-  NoteFrame(s.leased.late, AboveLeast(w.gap, now, now.value - reports.stamp));
-  w.takes_work = reports.takes_work && !s.workers[id.value].closed;
+  w.report_stamp = reports.stamp;
+  w.report_received_at = now;
+  RecordFrameDelay(s.leased.late,
+                   DelayAboveMin(w.offset, now, now.value - reports.stamp));
+  w.takes_work = reports.accepts_work && !s.workers[id.value].closed;
   w.free = reports.free;
   w.pace = reports.pace / 1000.0;
-  if (!IsSick(s, w))
+  if (!IsUnhealthy(s, w))
     w.probe_pause = {};
   if (reports.worker) {
-    if (w.info.life != reports.worker->life) {
-      w.failing = 0;
-      w.largest = {};
+    if (w.info.session != reports.worker->session) {
+      w.failure_share = 0;
+      w.max_capacity = {};
     }
     w.info = *reports.worker;
-    w.largest = Largest(w.largest, w.info.capacity);
+    w.max_capacity = ElementwiseMax(w.max_capacity, w.info.capacity);
     w.known = true;
   }
-  if (reports.heard.sent != 0)
-    NoteArrived(s.leased.link, w.frames, now,
-                {micros{reports.heard.sent}, reports.heard.transit,
-                 reports.heard.held});
-  TakeSeenStarts(w, reports.starts_seen);
-  TakeSeenSettlements(w, reports.settled_seen);
+  if (reports.last_received.sent != 0)
+    RecordArrived(s.leased.link, w.frames, now,
+                  {micros{reports.last_received.sent},
+                   reports.last_received.transit, reports.last_received.held});
+  HandleConfirmedStarts(w, reports.starts_seen);
+  HandleConfirmedResolutions(w, reports.resolved_seen);
   LogRefusedStarts(s, id, reports.ends);
   for (const run_end& end : reports.ends)
-    TakeEnd(s, now, id, end);
-  TakeUnclaimedEnds(s, now, id, reports);
+    HandleRunEnd(s, now, id, end);
+  HandleUnclaimedEnds(s, now, id, reports);
   for (const straggler& slow : reports.stragglers)
     MoveStraggler(s, now, id, slow);
 }
@@ -389,30 +394,33 @@
 // run counts as over later, too (RunsOverAt).
 int64_t EchoFor(leased_worker& w, micros now, micros heartbeat, bool starts) {
   constexpr double kLeastClockRate = 0.98;
-  const micros age = now - w.heard;
+  const micros age = now - w.report_received_at;
   if (!starts || age <= heartbeat)
-    return w.stamp;
-  w.vouched = now;
-  return w.stamp +
+    return w.report_stamp;
+  w.owner_lease_renewed_at = now;
+  return w.report_stamp +
          static_cast<int64_t>(static_cast<double>(age.value) * kLeastClockRate);
 }
 
 }  // namespace
 
-void CarryOrders(entry_state& s, micros now, worker_id id, entry_frame& frame) {
+void AttachOrders(entry_state& s,
+                  micros now,
+                  worker_id id,
+                  entry_frame& frame) {
   leased_worker& w = WorkerOf(s, id);
   if (!frame.orders)
     frame.orders.emplace();
   frame.orders->echo = EchoFor(w, now, s.options.timing.heartbeat,
                                !frame.orders->starts.empty());
-  frame.orders->acked_end = SavedEnds(w);
+  frame.orders->acked_end = LastSavedEnd(w);
   frame.orders->wanted_cpu = s.leased.wanted_cpu;
-  w.acked_told = SavedEnds(w);
-  w.wanted_told = s.leased.wanted_cpu != 0;
-  frame.orders->follows = w.follows;
-  w.follows_told = w.follows;
+  w.acked_end_sent = LastSavedEnd(w);
+  w.wanted_cpu_sent = s.leased.wanted_cpu != 0;
+  frame.orders->follows_resources = w.follows;
+  w.follows_sent = w.follows;
   frame.orders->sent = now.value;
-  NoteSent(s.leased.link, w.frames, now, FrameBytes(frame));
+  RecordSent(s.leased.link, w.frames, now, FrameBytes(frame));
 }
 
 }  // namespace cassiaferry
--- a/src/core/metrics.cc
+++ b/src/core/metrics.cc
@@ -119,7 +119,7 @@
   AppendCounter(out, "cassiaferry_jobs_failed_total", c.jobs_failed);
   AppendCounter(out, "cassiaferry_bytes_sent_total", c.bytes_sent);
   AppendCounter(out, "cassiaferry_frames_sent_total", c.frames_sent);
-  AppendCounter(out, "cassiaferry_frames_taken_total", c.frames_taken);
+  AppendCounter(out, "cassiaferry_frames_taken_total", c.frames_received);
   AppendCounter(out, "cassiaferry_ticks_total", c.ticks);
   for (const auto& [name, p] : policies) {
     AppendSummary(out, "cassiaferry_response_ms", name, p.response_ms);
--- a/src/core/policy.cc
+++ b/src/core/policy.cc
@@ -12,7 +12,7 @@
 // A team at twice its share waits behind jobs that came this much later.
 constexpr double kPenaltyMicros = 60e6;
 
-size_t Below(size_t bound, random_source& random) {
+size_t RandomBelow(size_t bound, random_source& random) {
   return std::uniform_int_distribution<size_t>(0, bound - 1)(random);
 }
 
@@ -25,7 +25,7 @@
 
 size_t PickRandom(const std::vector<worker_choice>& workers,
                   random_source& random) {
-  return Below(workers.size(), random);
+  return RandomBelow(workers.size(), random);
 }
 
 size_t PickRoundRobin(const std::vector<worker_choice>& workers,
@@ -33,12 +33,12 @@
   return turn++ % workers.size();
 }
 
-size_t PickLeastOf(const std::vector<worker_choice>& workers,
-                   uint32_t choices,
-                   random_source& random) {
-  size_t best = Below(workers.size(), random);
+size_t PickLeastLoaded(const std::vector<worker_choice>& workers,
+                       uint32_t choices,
+                       random_source& random) {
+  size_t best = RandomBelow(workers.size(), random);
   for (uint32_t i = 1; i < choices; ++i) {
-    const size_t other = Below(workers.size(), random);
+    const size_t other = RandomBelow(workers.size(), random);
     if (workers[other].load < workers[best].load)
       best = other;
   }
@@ -56,7 +56,7 @@
       continue;
     ties = share > best_share ? 1 : ties + 1;
     best_share = share;
-    if (ties == 1 || Below(ties, random) == 0)
+    if (ties == 1 || RandomBelow(ties, random) == 0)
       best = i;
   }
   return best;
--- a/src/core/sidecar.cc
+++ b/src/core/sidecar.cc
@@ -32,12 +32,12 @@
   return offered;
 }
 
-bool TakesWork(const sidecar_state& s) {
+bool AcceptsWork(const sidecar_state& s) {
   return s.state == upstream_state::ready && !s.draining &&
-         !IsClosed(s.closings, s.options.failure_domain);
+         !IsClosed(s.closed_domains, s.options.failure_domain);
 }
 
-entry_link* LinkOf(sidecar_state& s, const entry_memory& entry) {
+entry_link* LinkOf(sidecar_state& s, const known_entry& entry) {
   return entry.linked ? &s.links[entry.link.value] : nullptr;
 }
 
@@ -61,7 +61,7 @@
 // the bound is passed the oldest are dropped and the token changes, so that the
 // entry, should it come back asking, hears that something was forgotten and
 // says "may have run" instead of "not run".
-void BoundResults(sidecar_state& s, entry_memory& entry) {
+void BoundResults(sidecar_state& s, known_entry& entry) {
   while (entry.results_bytes > s.options.max_results_bytes &&
          !entry.results.empty()) {
     entry.results_bytes -= entry.results.front().output.size();
@@ -70,19 +70,19 @@
   }
 }
 
-void KeepResult(sidecar_state& s, entry_memory& entry, result_record result) {
+void KeepResult(sidecar_state& s, known_entry& entry, result_record result) {
   result.number = entry.next_result++;
   entry.results_bytes += result.output.size();
   entry.results.push_back(result);
   if (entry_link* link = LinkOf(s, entry)) {
     link->outbox.results.push_back(std::move(result));
     link->must_send = true;
-    s.metrics.Sent(record_kind::result);
+    s.metrics.CountSent(record_kind::result);
   }
   BoundResults(s, entry);
 }
 
-void Acknowledge(entry_memory& entry, uint64_t through) {
+void Acknowledge(known_entry& entry, uint64_t through) {
   while (!entry.results.empty() && entry.results.front().number <= through) {
     entry.results_bytes -= entry.results.front().output.size();
     entry.results.pop_front();
@@ -101,7 +101,7 @@
     return;
   link->outbox.rejects.push_back({task, timed_out});
   link->must_send = true;
-  s.metrics.Sent(record_kind::reject);
+  s.metrics.CountSent(record_kind::reject);
 }
 
 void Finish(sidecar_state& s, micros now, task_finished event) {
@@ -113,7 +113,7 @@
   if (entry != s.entries.end()) {
     result_record result;
     result.task = event.task;
-    result.what = event.what;
+    result.run_verdict = event.run_verdict;
     result.ok = event.ok;
     result.run_ms =
         static_cast<uint32_t>(ToMillis(now - running->second.started));
@@ -126,7 +126,7 @@
 
 // ---- [3] Frames from entries ------------------------------------------------
 
-bool IsResult(const entry_memory& entry, const task_ref& task) {
+bool IsResult(const known_entry& entry, const task_ref& task) {
   return std::any_of(entry.results.begin(), entry.results.end(),
                      [&](const result_record& r) { return r.task == task; });
 }
@@ -140,25 +140,25 @@
                                 : order_key{now.value + relative.value};
 }
 
-void TakeStart(sidecar_state& s,
-               micros now,
-               incarnation entry_name,
-               entry_memory& entry,
-               start_record start) {
+void HandleStart(sidecar_state& s,
+                 micros now,
+                 incarnation entry_name,
+                 known_entry& entry,
+                 start_record start) {
   const task_key key{entry_name, start.task};
   ++entry.starts_seen;
   if (s.running.count(key) != 0 || IsResult(entry, start.task)) {
-    s.metrics.Retried(retry_reason::duplicate_start);
+    s.metrics.CountRetry(retry_reason::duplicate_start);
     return;
   }
   // A start answers the oldest offer, if there is one; its slot is then free.
   if (!entry.offers.empty())
     entry.offers.pop_front();
-  if (TakesWork(s) && FreeSlots(s) > 0) {
+  if (AcceptsWork(s) && FreeSlots(s) > 0) {
     StartTask(s, now, key, std::move(start.payload), now);
     return;
   }
-  if (!TakesWork(s) || !start.may_queue ||
+  if (!AcceptsWork(s) || !start.may_queue ||
       s.queue.size() >= s.options.max_queued) {
     Reject(s, entry_name, start.task, false);
     return;
@@ -171,10 +171,10 @@
   Enqueue(s, Absolute(now, start.order), std::move(item));
 }
 
-void TakeProbe(sidecar_state& s,
-               micros now,
-               incarnation entry_name,
-               const probe_record& probe) {
+void HandleProbe(sidecar_state& s,
+                 micros now,
+                 incarnation entry_name,
+                 const probe_record& probe) {
   if (s.queue.size() >= s.options.max_queued)
     return;
   queued_item item;
@@ -230,7 +230,7 @@
 // still travelling on an older stream is dropped when it arrives.
 reconcile_reply Reconcile(sidecar_state& s,
                           incarnation entry_name,
-                          entry_memory& entry,
+                          known_entry& entry,
                           const entry_hello& hello) {
   std::erase_if(s.queue, [&](const auto& row) {
     return row.second.key.entry == entry_name;
@@ -238,21 +238,21 @@
   StopUnwanted(s, entry_name,
                {hello.unresolved.begin(), hello.unresolved.end()});
   reconcile_reply reply;
-  reply.memory = entry.token;
+  reply.memory_token = entry.token;
   for (const task_ref& task : hello.unresolved) {
-    task_fate fate = task_fate::never_started;
+    task_outcome fate = task_outcome::never_started;
     if (s.running.count({entry_name, task}) != 0)
-      fate = task_fate::running;
+      fate = task_outcome::running;
     else if (IsResult(entry, task))
-      fate = task_fate::resolved;
+      fate = task_outcome::resolved;
     reply.tasks.push_back({task, fate});
   }
   return reply;
 }
 
-entry_id LearnAddress(sidecar_state& s,
-                      const std::string& address,
-                      bool is_seed) {
+entry_id AddEntryAddress(sidecar_state& s,
+                         const std::string& address,
+                         bool is_seed) {
   for (size_t i = 0; i < s.links.size(); ++i) {
     if (s.links[i].address == address)
       return entry_id{static_cast<uint32_t>(i)};
@@ -270,7 +270,7 @@
     s.actions.push_back(hang_up{id, link.epoch});
   const auto known = s.entries.find(link.entry);
   if (link.state == link_state::up && known != s.entries.end()) {
-    entry_memory& entry = known->second;
+    known_entry& entry = known->second;
     if (entry.linked && entry.link == id && entry.fence == link.epoch) {
       entry.linked = false;
       entry.offers.clear();
@@ -290,20 +290,20 @@
     link.first_failed = now;
 }
 
-void TakeHello(sidecar_state& s,
-               micros now,
-               entry_id id,
-               const entry_hello& hello) {
+void HandleHello(sidecar_state& s,
+                 micros now,
+                 entry_id id,
+                 const entry_hello& hello) {
   if (hello.address != s.links[id.value].address) {
     // Reached through a balancer: keep one stream per entry, to its own
     // address.
-    LearnAddress(s, hello.address, false);
+    AddEntryAddress(s, hello.address, false);
     CloseLink(s, now, id, true);
     s.links[id.value].next_dial = now + Millis(5000);
     return;
   }
   entry_link& link = s.links[id.value];
-  entry_memory& entry = s.entries[hello.entry];
+  known_entry& entry = s.entries[hello.entry];
   if (entry.token == 0)
     entry.token = s.random() | 1;
   if (link.epoch < entry.fence)
@@ -311,7 +311,7 @@
   entry.fence = link.epoch;
   entry.link = id;
   entry.linked = true;
-  entry.last_heard = now;
+  entry.last_received_at = now;
   entry.offers.clear();
   entry.backlog = kNoBacklog;
   entry.starts_seen = 0;
@@ -320,18 +320,18 @@
   link.first_failed = micros{0};
   link.outbox.reconcile = Reconcile(s, hello.entry, entry, hello);
   link.must_send = true;
-  s.metrics.Sent(record_kind::reconcile, hello.unresolved.size());
+  s.metrics.CountSent(record_kind::reconcile, hello.unresolved.size());
   for (const result_record& result : entry.results)
     link.outbox.results.push_back(result);
-  s.metrics.Sent(record_kind::result, entry.results.size());
+  s.metrics.CountSent(record_kind::result, entry.results.size());
 }
 
-void TakeDeclines(entry_memory& entry, uint32_t declines) {
+void HandleDeclines(known_entry& entry, uint32_t declines) {
   for (; declines > 0 && !entry.offers.empty(); --declines)
     entry.offers.pop_front();
 }
 
-void TakeBacklog(micros now, entry_memory& entry, const entry_frame& frame) {
+void HandleBacklog(micros now, known_entry& entry, const entry_frame& frame) {
   entry.backlog = Absolute(now, *frame.backlog);
   // What is offered already counts against what is wanted.
   const auto offered = static_cast<uint32_t>(entry.offers.size());
@@ -341,55 +341,56 @@
     entry.backlog = kNoBacklog;
 }
 
-void TakeRecords(sidecar_state& s,
-                 micros now,
-                 incarnation entry_name,
-                 entry_memory& entry,
-                 entry_frame& frame) {
+void HandleRecords(sidecar_state& s,
+                   micros now,
+                   incarnation entry_name,
+                   known_entry& entry,
+                   entry_frame& frame) {
   Acknowledge(entry, frame.acked_through);
   for (job_seq job : frame.cancels)
     CancelJob(s, entry_name, job);
   for (job_seq job : frame.probe_cancels)
     DropQueued(s, entry_name, job, true);
   for (start_record& start : frame.starts)
-    TakeStart(s, now, entry_name, entry, std::move(start));
+    HandleStart(s, now, entry_name, entry, std::move(start));
   for (const probe_record& probe : frame.probes)
-    TakeProbe(s, now, entry_name, probe);
-  TakeDeclines(entry, frame.declines);
+    HandleProbe(s, now, entry_name, probe);
+  HandleDeclines(entry, frame.declines);
   if (frame.backlog)
-    TakeBacklog(now, entry, frame);
+    HandleBacklog(now, entry, frame);
 }
 
-void TakeFrame(sidecar_state& s, micros now, link_frame_received event) {
+void HandleFrame(sidecar_state& s, micros now, link_frame_received event) {
   entry_link& link = s.links[event.link.value];
   entry_frame& frame = event.frame;
-  ++s.metrics.frames_taken;
+  ++s.metrics.frames_received;
   if (link.state == link_state::idle || frame.epoch != link.epoch) {
-    s.metrics.Retried(retry_reason::fenced_frame);
+    s.metrics.CountRetry(retry_reason::fenced_frame);
     return;
   }
-  link.last_heard = now;
-  NoteOperatorState(s, now, event.link, frame);
+  link.last_received_at = now;
+  RecordOperatorState(s, now, event.link, frame);
   for (const std::string& address : frame.peers)
-    LearnAddress(s, address, false);
+    AddEntryAddress(s, address, false);
   if (frame.hello)
-    TakeHello(s, now, event.link, *frame.hello);
+    HandleHello(s, now, event.link, *frame.hello);
   entry_link& same_link =
       s.links[event.link.value];  // learning may have moved the table
   if (same_link.state != link_state::up)
     return;
   const incarnation entry_name = same_link.entry;
-  entry_memory& entry = s.entries[entry_name];
+  known_entry& entry = s.entries[entry_name];
   if (entry.fence != frame.epoch) {
-    s.metrics.Retried(retry_reason::fenced_frame);
+    s.metrics.CountRetry(retry_reason::fenced_frame);
     return;
   }
-  entry.last_heard = now;
-  TakeRecords(s, now, entry_name, entry, frame);
-  if (frame.orders && s.options.keeps_leases)
-    TakeOrders(s.keeper, now, entry_name, std::move(*frame.orders));
-  if (frame.goodbye) {
-    ForgetOwner(s.keeper, entry_name);
+  entry.last_received_at = now;
+  HandleRecords(s, now, entry_name, entry, frame);
+  if (frame.orders && s.options.manages_leases)
+    HandleLeaseOrders(s.lease_manager, now, entry_name,
+                      std::move(*frame.orders));
+  if (frame.shutdown_notice) {
+    ForgetOwner(s.lease_manager, entry_name);
     s.entries.erase(entry_name);
     CloseLink(s, now, event.link, true);
   }
@@ -411,12 +412,14 @@
 }
 
 // What waits for a slot in a closed domain is not started there any more.
-void HandBackQueued(sidecar_state& s) {
-  if (!s.queue.empty() && IsClosed(s.closings, s.options.failure_domain))
+void RejectQueuedIfClosed(sidecar_state& s) {
+  if (!s.queue.empty() && IsClosed(s.closed_domains, s.options.failure_domain))
     RejectQueuedTasks(s);
 }
 
-void TakeAnnouncement(sidecar_state& s, micros now, const upstream_info& info) {
+void HandleAnnouncedUpstream(sidecar_state& s,
+                             micros now,
+                             const upstream_info& info) {
   s.upstream = info;
   s.last_announced = now;
   s.state = upstream_state::ready;
@@ -444,23 +447,23 @@
 
 sidecar_hello MakeHello(const sidecar_state& s) {
   return {s.options.self, s.options.name, s.options.failure_domain,
-          s.config.version, s.closings.known.version};
+          s.config.version, s.closed_domains.known.version};
 }
 
 void Dial(sidecar_state& s, micros now, entry_id id) {
   entry_link& link = s.links[id.value];
   link.epoch = link_epoch{s.next_epoch++};
   link.state = link_state::dialing;
-  link.last_heard = now;
+  link.last_received_at = now;
   link.last_sent = now;
-  link.upstream_told = {};
+  link.reported_upstream = {};
   link.outbox = {};
   s.actions.push_back(dial_entry{id, link.address, link.epoch});
   sidecar_frame frame;
   frame.epoch = link.epoch;
   frame.hello = MakeHello(s);
   frame.version = s.config.version;
-  frame.closed_as_of = s.closings.known.version;
+  frame.closed_version = s.closed_domains.known.version;
   s.actions.push_back(send_to_entry{id, std::move(frame)});
 }
 
@@ -477,8 +480,8 @@
   const auto entry = s.entries.find(link.entry);
   const bool has_results =
       entry != s.entries.end() && !entry->second.results.empty();
-  return !s.options.keeps_leases || has_results ||
-         HasRuns(s.keeper, link.entry);
+  return !s.options.manages_leases || has_results ||
+         HasRuns(s.lease_manager, link.entry);
 }
 
 // Failure guarded against: an open connection that has gone silent for good
@@ -490,12 +493,14 @@
     entry_link& link = s.links[i];
     const link_timing& timing = s.options.timing;
     const bool idle = link.state == link_state::up && !IsActive(s, link);
-    const micros silence = idle ? timing.idle_silence : timing.silence;
+    const micros silence =
+        idle ? timing.idle_silence_timeout : timing.silence_timeout;
     // Failure guarded against: an entry without runs here hears seldom of this
     // worker, believes that it has room, and is refused; so changes are told.
-    const bool quiet = idle && !HasNews(s.keeper, link.entry);
+    const bool quiet =
+        idle && !HasUnreportedChange(s.lease_manager, link.entry);
     const micros heartbeat = quiet ? timing.idle_heartbeat : timing.heartbeat;
-    if (link.state != link_state::idle && now - link.last_heard > silence)
+    if (link.state != link_state::idle && now - link.last_received_at > silence)
       CloseLink(s, now, id, true);
     if (link.state == link_state::idle && now >= link.next_dial &&
         !IsGone(link, now))
@@ -503,7 +508,7 @@
     if (link.state == link_state::up && now - link.last_sent >= heartbeat &&
         !link.must_send) {
       link.must_send = true;
-      s.metrics.Sent(record_kind::heartbeat);
+      s.metrics.CountSent(record_kind::heartbeat);
     }
   }
 }
@@ -513,7 +518,7 @@
 // run, in case the entry was only paused and asks.
 void StopOrphans(sidecar_state& s, micros now) {
   for (auto& [name, entry] : s.entries) {
-    if (entry.linked || now - entry.last_heard < s.options.orphan_timeout)
+    if (entry.linked || now - entry.last_received_at < s.options.orphan_timeout)
       continue;
     auto it = s.running.lower_bound({name, {}});
     while (it != s.running.end() && it->first.entry == name) {
@@ -522,7 +527,7 @@
       StopRunning(s, key);
       result_record result;
       result.task = key.task;
-      result.what = verdict::may_have_run;
+      result.run_verdict = verdict::may_have_run;
       result.output = "stopped: its entry was not heard of for too long";
       KeepResult(s, entry, std::move(result));
     }
@@ -532,7 +537,7 @@
 void ForgetEntries(sidecar_state& s, micros now) {
   std::erase_if(s.entries, [&](const auto& row) {
     return !row.second.linked &&
-           now - row.second.last_heard > s.options.entry_memory;
+           now - row.second.last_received_at > s.options.entry_retention;
   });
 }
 
@@ -542,13 +547,13 @@
          a.memory_mb == b.memory_mb;
 }
 
-upstream_state ToldState(const sidecar_state& s) {
+upstream_state ReportedState(const sidecar_state& s) {
   return s.draining ? upstream_state::leaving : s.state;
 }
 
 bool HasReport(const sidecar_state& s, incarnation entry) {
-  const auto owner = s.keeper.owners.find(entry);
-  return owner != s.keeper.owners.end() && owner->second.due;
+  const auto owner = s.lease_manager.owners.find(entry);
+  return owner != s.lease_manager.owners.end() && owner->second.report_pending;
 }
 
 void Flush(sidecar_state& s, micros now) {
@@ -556,9 +561,10 @@
     entry_link& link = s.links[i];
     if (link.state != link_state::up)
       continue;
-    entry_memory& entry = s.entries[link.entry];
-    const bool state_changed = link.state_told != ToldState(s);
-    const bool upstream_changed = !SameUpstream(link.upstream_told, s.upstream);
+    known_entry& entry = s.entries[link.entry];
+    const bool state_changed = link.reported_state != ReportedState(s);
+    const bool upstream_changed =
+        !SameUpstream(link.reported_upstream, s.upstream);
     if (!link.must_send && !state_changed && !upstream_changed &&
         !HasReport(s, link.entry))
       continue;
@@ -567,17 +573,17 @@
     link.must_send = false;
     if (upstream_changed)
       frame.upstream = s.upstream;
-    link.upstream_told = s.upstream;
-    link.state_told = ToldState(s);
+    link.reported_upstream = s.upstream;
+    link.reported_state = ReportedState(s);
     frame.epoch = link.epoch;
     frame.version = s.config.version;
-    frame.closed_as_of = s.closings.known.version;
-    frame.load.state = ToldState(s);
-    frame.load.free_slots = TakesWork(s) ? FreeSlots(s) : 0;
+    frame.closed_version = s.closed_domains.known.version;
+    frame.load.state = ReportedState(s);
+    frame.load.free_slots = AcceptsWork(s) ? FreeSlots(s) : 0;
     frame.load.queued = static_cast<uint32_t>(s.queue.size());
     frame.load.starts_seen = entry.starts_seen;
-    if (s.options.keeps_leases)
-      frame.reports = ReportFor(s.keeper, now, link.entry);
+    if (s.options.manages_leases)
+      frame.reports = ReportFor(s.lease_manager, now, link.entry);
     link.last_sent = now;
     ++s.metrics.frames_sent;
     s.actions.push_back(
@@ -596,8 +602,8 @@
 }
 
 // The entry whose first waiting job is first of all; null: none has a backlog.
-entry_memory* FirstBacklog(sidecar_state& s) {
-  entry_memory* best = nullptr;
+known_entry* FirstBacklog(sidecar_state& s) {
+  known_entry* best = nullptr;
   for (auto& [name, entry] : s.entries) {
     if (!entry.linked || entry.backlog == kNoBacklog)
       continue;
@@ -610,25 +616,25 @@
 // Keeps a slot for the entry, to be used by a start or given back. No more
 // slots are kept than it has tasks waiting: its answer carries the newest
 // count.
-void Hold(entry_memory& entry, micros now) {
+void ReserveSlot(known_entry& entry, micros now) {
   entry.offers.push_back(now);
   if (entry.backlog_tasks > 0 && --entry.backlog_tasks == 0)
     entry.backlog = kNoBacklog;
 }
 
-void Offer(sidecar_state& s, micros now, entry_memory& entry, job_seq job) {
+void Offer(sidecar_state& s, micros now, known_entry& entry, job_seq job) {
   entry_link* link = LinkOf(s, entry);
-  Hold(entry, now);
+  ReserveSlot(entry, now);
   link->outbox.offers.push_back({job});
   link->must_send = true;
-  s.metrics.Sent(record_kind::offer);
+  s.metrics.CountSent(record_kind::offer);
 }
 
 // A slot freed by a result goes back to the entry of that result without a
 // record of its own, if that entry has a backlog and no other has a job that is
 // before it by more than the margin.
 void GrantWithResults(sidecar_state& s, micros now) {
-  const entry_memory* best = FirstBacklog(s);
+  const known_entry* best = FirstBacklog(s);
   if (best == nullptr)
     return;
   const order_key first = best->backlog;
@@ -644,7 +650,7 @@
         link->outbox.reconcile ? 0 : link->outbox.results.size();
     while (link->outbox.granted < freed && FreeSlots(s) > 0 &&
            entry.backlog != kNoBacklog) {
-      Hold(entry, now);
+      ReserveSlot(entry, now);
       ++link->outbox.granted;
     }
   }
@@ -663,11 +669,11 @@
 }
 
 void ServeSlots(sidecar_state& s, micros now) {
-  if (!TakesWork(s))
+  if (!AcceptsWork(s))
     return;
   GrantWithResults(s, now);
   while (FreeSlots(s) > 0) {
-    entry_memory* best = FirstBacklog(s);
+    known_entry* best = FirstBacklog(s);
     const bool has_queue = !s.queue.empty();
     if (best == nullptr && !has_queue)
       return;
@@ -682,77 +688,80 @@
 
 // ---- [7] Tick ---------------------------------------------------------------
 
-struct event_taker {
+struct event_handler {
   sidecar_state& s;
   micros now;
 
   void operator()(link_frame_received& e) {
     if (e.link.value >= s.links.size())
       return;
-    TakeFrame(s, now, std::move(e));
+    HandleFrame(s, now, std::move(e));
   }
   void operator()(link_lost& e) {
     if (e.link.value < s.links.size() && s.links[e.link.value].epoch == e.epoch)
       CloseLink(s, now, e.link, false);
   }
-  void operator()(upstream_announced& e) { TakeAnnouncement(s, now, e.info); }
+  void operator()(upstream_announced& e) {
+    HandleAnnouncedUpstream(s, now, e.info);
+  }
   void operator()(upstream_left&) { LeaveUpstream(s); }
   void operator()(task_finished& e) { Finish(s, now, std::move(e)); }
   void operator()(drain_requested&) {
     s.draining = true;
     s.drain_since = now;
-    s.keeper.stopping = true;
+    s.lease_manager.stopping = true;
     RejectQueuedTasks(s);
   }
   void operator()(entries_found& e) {
     for (const std::string& address : e.addresses)
-      LearnAddress(s, address, false);
+      AddEntryAddress(s, address, false);
   }
-  void operator()(keeper_event& e) {
-    TakeKeeperEvent(s.keeper, now, std::move(e));
+  void operator()(lease_manager_event& e) {
+    HandleLeaseManagerEvent(s.lease_manager, now, std::move(e));
   }
 };
 
 // The keeper is part of this process, and its calls go out like others.
-void RunKeeper(sidecar_state& s, micros now) {
-  if (!s.options.keeps_leases)
+void RunLeaseManager(sidecar_state& s, micros now) {
+  if (!s.options.manages_leases)
     return;
-  TickKeeper(s.keeper, now);
-  for (keeper_action& action : s.keeper.actions)
+  TickLeaseManager(s.lease_manager, now);
+  for (lease_manager_action& action : s.lease_manager.actions)
     s.actions.emplace_back(std::move(action));
-  s.keeper.actions.clear();
+  s.lease_manager.actions.clear();
 }
 
 // An entry whose stream is broken just now gets some time to come back for its
 // results.
 bool AllAcknowledged(const sidecar_state& s, micros now) {
   return std::all_of(s.entries.begin(), s.entries.end(), [&](const auto& row) {
-    const entry_memory& entry = row.second;
+    const known_entry& entry = row.second;
     const bool given_up =
-        !entry.linked && now - entry.last_heard > s.options.drain_grace;
+        !entry.linked && now - entry.last_received_at > s.options.drain_grace;
     return entry.results.empty() || given_up;
   });
 }
 
 // A planned stop waits for what runs under a lease, up to the grace: then the
 // next process beside this worker stops it.
-bool LeasesSettled(const sidecar_state& s, micros now) {
-  if (!s.options.keeps_leases || now - s.drain_since > s.options.drain_grace)
+bool LeasesDrained(const sidecar_state& s, micros now) {
+  if (!s.options.manages_leases || now - s.drain_since > s.options.drain_grace)
     return true;
-  return s.keeper.runs.empty() &&
-         std::all_of(s.keeper.owners.begin(), s.keeper.owners.end(),
+  return s.lease_manager.runs.empty() &&
+         std::all_of(s.lease_manager.owners.begin(),
+                     s.lease_manager.owners.end(),
                      [](const auto& row) { return row.second.ends.empty(); });
 }
 
 void CheckDrained(sidecar_state& s, micros now) {
   if (!s.draining || !s.running.empty() || !AllAcknowledged(s, now) ||
-      !LeasesSettled(s, now))
+      !LeasesDrained(s, now))
     return;
   for (size_t i = 0; i < s.links.size(); ++i) {
     entry_link& link = s.links[i];
     if (link.state != link_state::up)
       continue;
-    link.outbox.goodbye = true;
+    link.outbox.shutdown_notice = true;
     link.must_send = true;
   }
   s.actions.push_back(drained{});
@@ -770,8 +779,8 @@
   sidecar_state s;
   s.random.seed(options.seed);
   for (const std::string& address : options.seeds)
-    LearnAddress(s, address, true);
-  s.keeper = MakeKeeper(options.keeper);
+    AddEntryAddress(s, address, true);
+  s.lease_manager = MakeLeaseManager(options.lease_manager);
   s.options = std::move(options);
   return s;
 }
@@ -782,18 +791,18 @@
   s.actions.clear();
   ++s.metrics.ticks;
   for (sidecar_event& event : events)
-    std::visit(event_taker{s, now}, event);
+    std::visit(event_handler{s, now}, event);
   CheckUpstream(s, now);
-  HandBackQueued(s);
+  RejectQueuedIfClosed(s);
   ExpireQueued(s, now);
   ExpireOffers(s, now);
   CheckLinks(s, now);
-  AskForConfig(s, now);
+  RequestConfig(s, now);
   RelayOperatorState(s, now);
   StopOrphans(s, now);
   ForgetEntries(s, now);
   ServeSlots(s, now);
-  RunKeeper(s, now);
+  RunLeaseManager(s, now);
   CheckDrained(s, now);
   Flush(s, now);
   return std::move(s.actions);
--- a/src/core/sidecar_config.cc
+++ b/src/core/sidecar_config.cc
@@ -22,8 +22,8 @@
 // Nobody is behind: sidecars ask at moments spread over this, so that a small
 // link is not full of the answers. Until then, entries that all die at once
 // while the store is down take the version with them.
-constexpr micros kAskWithin = Millis(500);
-constexpr micros kAskAgain = Millis(500);  // the answer was lost
+constexpr micros kRequestWithin = Millis(500);
+constexpr micros kRequestAgain = Millis(500);  // the answer was lost
 // All sidecars see an entry that is behind. It tells them when the first has
 // sent it the document, and the others don't.
 constexpr micros kRelayWithin = Millis(100);
@@ -41,7 +41,7 @@
 }
 
 // One of the entries that have the newest version; null: none is linked.
-entry_link* DrawHolder(sidecar_state& s) {
+entry_link* PickConfigHolder(sidecar_state& s) {
   std::vector<entry_link*> holders;
   for (entry_link& link : s.links) {
     if (IsUp(link) && link.version == s.config_search.newest)
@@ -52,19 +52,19 @@
 
 bool IsBehind(const sidecar_state& s, const entry_link& link) {
   return link.version < s.config.version ||
-         link.closed_as_of < s.closings.known.version;
+         link.closed_as_of < s.closed_domains.known.version;
 }
 
-void TakeClosings(sidecar_state& s, const domain_closings& told) {
-  if (!TakeToldClosings(s.closings, told))
+void HandleClosedDomains(sidecar_state& s, const closed_domains& told) {
+  if (!UpdateClosedDomainsFromPeer(s.closed_domains, told))
     return;
-  const bool closed = IsClosed(s.closings, s.options.failure_domain);
-  s.actions.emplace_back(keeper_action{
-      keeper_note{"failure domains closed",
-                  ToText(s.closings.known) + ", version " +
-                      std::to_string(s.closings.known.version.value) +
-                      (closed ? ", this one among them" : "")}});
-  SetClosed(s.keeper, closed);
+  const bool closed = IsClosed(s.closed_domains, s.options.failure_domain);
+  s.actions.emplace_back(lease_manager_action{lease_manager_log{
+      "failure domains closed",
+      ToText(s.closed_domains.known) + ", version " +
+          std::to_string(s.closed_domains.known.version.value) +
+          (closed ? ", this one among them" : "")}});
+  SetClosed(s.lease_manager, closed);
 }
 
 micros RandomWithin(sidecar_state& s, micros time) {
@@ -74,37 +74,38 @@
 
 }  // namespace
 
-void NoteOperatorState(sidecar_state& s,
-                       micros now,
-                       entry_id id,
-                       const entry_frame& frame) {
+void RecordOperatorState(sidecar_state& s,
+                         micros now,
+                         entry_id id,
+                         const entry_frame& frame) {
   entry_link& link = s.links[id.value];
   link.version = frame.version;
-  link.closed_as_of = frame.closed_as_of;
-  if (frame.closings)
-    TakeClosings(s, *frame.closings);
+  link.closed_as_of = frame.closed_version;
+  if (frame.closed_set)
+    HandleClosedDomains(s, *frame.closed_set);
   if (frame.config && frame.config->version > s.config.version)
     s.config = *frame.config;
   config_search& search = s.config_search;
   if (frame.version > search.newest) {
     search.newest = frame.version;
-    search.heard_at = now;
-    search.ask_at = now + RandomWithin(s, kAskWithin);
+    search.newest_received_at = now;
+    search.request_at = now + RandomWithin(s, kRequestWithin);
   }
 }
 
-void AskForConfig(sidecar_state& s, micros now) {
+void RequestConfig(sidecar_state& s, micros now) {
   config_search& search = s.config_search;
   if (search.newest <= s.config.version)
     return;
   const bool urgent =
-      now - search.heard_at >= kBehindFor && SomeEntryIsBehind(s);
-  if ((now < search.ask_at && !urgent) || now - search.asked_at < kAskAgain)
+      now - search.newest_received_at >= kBehindFor && SomeEntryIsBehind(s);
+  if ((now < search.request_at && !urgent) ||
+      now - search.requested_at < kRequestAgain)
     return;
-  entry_link* holder = DrawHolder(s);
+  entry_link* holder = PickConfigHolder(s);
   if (holder == nullptr)
     return;
-  search.asked_at = now;
+  search.requested_at = now;
   holder->outbox.wants_config = true;
   holder->must_send = true;
 }
@@ -125,8 +126,8 @@
     link.relay_at = now + kRelayAgain;
     if (link.version < s.config.version)
       link.outbox.config = s.config;
-    if (link.closed_as_of < s.closings.known.version)
-      link.outbox.closings = s.closings.known;
+    if (link.closed_as_of < s.closed_domains.known.version)
+      link.outbox.closed_set = s.closed_domains.known;
     link.must_send = true;
   }
 }
--- a/src/core/sidecar_systems.h
+++ b/src/core/sidecar_systems.h
@@ -10,12 +10,12 @@
 // ---- The operators' word (sidecar_config.cc) --------------------------------
 
 // A frame of the entry on this link came, with the versions that it knows.
-void NoteOperatorState(sidecar_state& s,
-                       micros now,
-                       entry_id id,
-                       const entry_frame& frame);
+void RecordOperatorState(sidecar_state& s,
+                         micros now,
+                         entry_id id,
+                         const entry_frame& frame);
 // Asks one entry for a configuration that is newer than the one here.
-void AskForConfig(sidecar_state& s, micros now);
+void RequestConfig(sidecar_state& s, micros now);
 // Sends the configuration and the closings to entries that have older ones.
 void RelayOperatorState(sidecar_state& s, micros now);
 
--- a/src/core/uplink.cc
+++ b/src/core/uplink.cc
@@ -15,8 +15,8 @@
 
 constexpr double kMicrosPerSecond = 1e6;
 
-double StatedRate(const uplink_options& o) {
-  return o.stated * o.usable;
+double ConfiguredRate(const uplink_options& o) {
+  return o.configured_rate * o.usable_share;
 }
 
 double BurstBytes(const uplink& u) {
@@ -28,14 +28,14 @@
 uplink MakeUplink(uplink_options options) {
   uplink u;
   u.options = options;
-  u.rate = options.enabled ? StatedRate(options) : 0;
+  u.rate = options.enabled ? ConfiguredRate(options) : 0;
   u.tokens = BurstBytes(u);
   return u;
 }
 
 // ---- [1] Frames -------------------------------------------------------------
 
-void NoteSent(uplink& u, uplink_stream& stream, micros now, size_t bytes) {
+void RecordSent(uplink& u, uplink_stream& stream, micros now, size_t bytes) {
   stream.marks.push_back({now, bytes});
   if (u.rate > 0)
     u.tokens -= static_cast<double>(bytes);
@@ -52,27 +52,27 @@
                    micros now,
                    const frame_arrival& arrival) {
   const int64_t rtt = (now - arrival.sent).value - arrival.held;
-  u.least_rtt = std::min(u.least_rtt, rtt);
-  return std::min(rtt - u.least_rtt,
-                  AboveLeast(stream.gap, now, arrival.transit));
+  u.min_rtt = std::min(u.min_rtt, rtt);
+  return std::min(rtt - u.min_rtt,
+                  DelayAboveMin(stream.gap, now, arrival.transit));
 }
 
 }  // namespace
 
-void NoteArrived(uplink& u,
-                 uplink_stream& stream,
-                 micros now,
-                 const frame_arrival& arrival) {
+void RecordArrived(uplink& u,
+                   uplink_stream& stream,
+                   micros now,
+                   const frame_arrival& arrival) {
   bool is_new = false;
   while (!stream.marks.empty() && stream.marks.front().sent <= arrival.sent) {
-    u.carried += stream.marks.front().bytes;
+    u.delivered_bytes += stream.marks.front().bytes;
     stream.marks.pop_front();
     is_new = true;
   }
   if (!is_new)
     return;
   ++u.samples;
-  u.least_delay = std::min(u.least_delay, QueueDelay(u, stream, now, arrival));
+  u.min_delay = std::min(u.min_delay, QueueDelay(u, stream, now, arrival));
 }
 
 // ---- [2] The rate -----------------------------------------------------------
@@ -80,37 +80,37 @@
 namespace {
 
 void StartInterval(uplink& u, micros now) {
-  u.decided = now;
-  u.least_delay = INT64_MAX;
+  u.adjusted_at = now;
+  u.min_delay = INT64_MAX;
   u.samples = 0;
-  u.carried = 0;
+  u.delivered_bytes = 0;
   u.payload_waits = false;
 }
 
 void Refill(uplink& u, micros now) {
   const double passed =
-      static_cast<double>((now - u.refilled).value) / kMicrosPerSecond;
-  u.refilled = now;
+      static_cast<double>((now - u.refilled_at).value) / kMicrosPerSecond;
+  u.refilled_at = now;
   u.tokens = std::min(u.tokens + passed * u.rate, BurstBytes(u));
 }
 
-void FollowQueue(uplink& u, micros now) {
+void ReduceRate(uplink& u, micros now) {
   const double passed =
-      static_cast<double>((now - u.decided).value) / kMicrosPerSecond;
-  const double carried = static_cast<double>(u.carried) / passed;
-  const double slower = u.options.keep * carried;
-  u.queue_seen = now;
+      static_cast<double>((now - u.adjusted_at).value) / kMicrosPerSecond;
+  const double carried = static_cast<double>(u.delivered_bytes) / passed;
+  const double slower = u.options.backoff_factor * carried;
+  u.queue_seen_at = now;
   const double before = u.rate > 0 ? u.rate : carried;
   // One decision takes back at most half: a few frames that happen to arrive
   // late carry few bytes, and say little of the link.
-  u.rate = std::max({std::min(before, slower), before / 2, u.options.floor});
+  u.rate = std::max({std::min(before, slower), before / 2, u.options.min_rate});
 }
 
-void Grow(uplink& u, micros now) {
-  const double stated = StatedRate(u.options);
+void IncreaseRate(uplink& u, micros now) {
+  const double stated = ConfiguredRate(u.options);
   if (u.payload_waits) {
-    u.rate *= u.options.grow;
-  } else if (now - u.queue_seen > u.options.forget) {
+    u.rate *= u.options.growth_factor;
+  } else if (now - u.queue_seen_at > u.options.bound_retention) {
     u.rate = stated;
   }
   if (stated > 0)
@@ -120,14 +120,14 @@
 // Failure guarded against: this process is short of processor time, its frames
 // are late by that, and it takes this for a queue in the link: of 25 Mbit/s it
 // uses 1, and serves still less (seen on entries of a tenth of a core).
-void Decide(uplink& u, micros now, micros own_wait) {
+void AdjustRate(uplink& u, micros now, micros own_wait) {
   constexpr int64_t kWaysHere = 2;  // out, and back in
   u.delay =
-      micros{std::max<int64_t>(0, u.least_delay - kWaysHere * own_wait.value)};
-  if (u.delay > u.options.most_delay)
-    FollowQueue(u, now);
+      micros{std::max<int64_t>(0, u.min_delay - kWaysHere * own_wait.value)};
+  if (u.delay > u.options.max_delay)
+    ReduceRate(u, now);
   else if (u.rate > 0)
-    Grow(u, now);
+    IncreaseRate(u, now);
 }
 
 }  // namespace
@@ -136,15 +136,15 @@
   u.planned = 0;
   if (!u.options.enabled)
     return;
-  if (u.refilled.value == 0) {
-    u.refilled = now;
+  if (u.refilled_at.value == 0) {
+    u.refilled_at = now;
     StartInterval(u, now);
   }
   Refill(u, now);
-  if (now - u.decided < u.options.interval ||
-      u.samples < u.options.least_samples)
+  if (now - u.adjusted_at < u.options.interval ||
+      u.samples < u.options.min_samples)
     return;
-  Decide(u, now, own_wait);
+  AdjustRate(u, now, own_wait);
   StartInterval(u, now);
 }
 
@@ -154,7 +154,7 @@
 
 // ---- [3] Payloads -----------------------------------------------------------
 
-bool TakesPayload(uplink& u) {
+bool MaySendPayload(uplink& u) {
   const bool takes = u.rate <= 0 || u.tokens > static_cast<double>(u.planned);
   u.payload_waits = u.payload_waits || !takes;
   return takes;
@@ -164,7 +164,7 @@
   u.planned += bytes;
 }
 
-bool PacksPayloads(const uplink& u) {
+bool CompressesPayloads(const uplink& u) {
   return u.rate > 0 && u.rate < u.options.pack_below;
 }
 
--- a/src/core/verdict.cc
+++ b/src/core/verdict.cc
@@ -69,7 +69,7 @@
   return "may_have_run";
 }
 
-verdict Worse(verdict a, verdict b) {
+verdict WeakerVerdict(verdict a, verdict b) {
   if (a == verdict::may_have_run || b == verdict::may_have_run)
     return verdict::may_have_run;
   return a == b ? a : verdict::may_have_run;
--- a/src/emulator/caller_world.cc
+++ b/src/emulator/caller_world.cc
@@ -105,7 +105,7 @@
     if (job.fate != job_fate::open || job.ticket != answer.ticket.value)
       return;
     job.answered = now;
-    const bool not_run = answer.why.what == verdict::not_run;
+    const bool not_run = answer.error.run_verdict == verdict::not_run;
     switch (answer.outcome) {
       case leased_outcome::completed:
         job.fate = job_fate::completed;
@@ -124,7 +124,7 @@
       Unanswered(id, answer.ticket.value);
       return;
     }
-    retry_after_ms.push_back(answer.why.retry_after_ms);
+    retry_after_ms.push_back(answer.error.retry_after_ms);
     // Earlier sends may have run: only the first one's refusal is a promise.
     job.fate = job.sends == 1 ? job_fate::refused : job_fate::given_up;
     if (job.sends == 1 && job.started)
--- a/src/emulator/closings_world.cc
+++ b/src/emulator/closings_world.cc
@@ -63,14 +63,14 @@
     if (told || !ReachesStore(i))
       continue;
     closings_told_[i] = e.lives;
-    domain_closings read = closings;
+    closed_domains read = closings;
     read.version.value +=
         static_cast<uint64_t>(now.value / 1000) % kVersionStep;
     At(now + Millis(store.answer_ms), [this, i, life = e.lives, read] {
       emulated_entry& same = entries[static_cast<size_t>(i)];
       if (same.lives != life)
         return;
-      same.inbox.emplace_back(closings_read{read});
+      same.inbox.emplace_back(closed_domains_read{read});
       WakeEntry(i);
     });
   }
@@ -95,11 +95,11 @@
 // A start that got no answer may be called again: it was admitted before.
 void world::CheckClosed(int sidecar, const call_run_start& call) {
   const sidecar_state& s = *sidecars[static_cast<size_t>(sidecar)].core;
-  const auto run = s.keeper.runs.find(call.start.ref.task);
-  if (run != s.keeper.runs.end() && run->second.tries > 1)
+  const auto run = s.lease_manager.runs.find(call.start.ref.task);
+  if (run != s.lease_manager.runs.end() && run->second.start_attempts > 1)
     return;
   const std::string& domain = s.options.failure_domain;
-  if (IsClosed(s.closings, domain))
+  if (IsClosed(s.closed_domains, domain))
     Broken("started where its sidecar knows that it is closed: " +
            call.start.ref.task.job);
   const auto closed = closed_at.find(domain);
--- a/src/emulator/durable_world.cc
+++ b/src/emulator/durable_world.cc
@@ -132,7 +132,7 @@
     Ask(id);
     return;
   }
-  if (answer.why.what != verdict::not_run) {
+  if (answer.error.run_verdict != verdict::not_run) {
     job.refused_all = false;
     if (job.ticket == answer.ticket.value)
       Unanswered(id, answer.ticket.value);
@@ -158,7 +158,7 @@
   if (entry >= 0) {
     const uint64_t ticket = next_ticket_++;
     tickets_[{entry, ticket}] = id;
-    Post(entry, leased_job_asked{ticket_id{ticket}, id});
+    Post(entry, leased_job_queried{ticket_id{ticket}, id});
   }
   At(now + kAskEvery, [this, id] { Ask(id); });
 }
@@ -251,16 +251,16 @@
   emulated_job& job = jobs[end.ref.task.job];
   if (!job.durable)
     return;
-  if (end.how == run_end_kind::done)
+  if (end.kind == run_end_kind::done)
     job.done_at = now;
   const emulated_worker& w = workers[static_cast<size_t>(worker)];
   Log("worker " + std::to_string(worker),
-      std::string("end ") + ToText(end.how) + " " + end.ref.task.job + "." +
+      std::string("end ") + ToText(end.kind) + " " + end.ref.task.job + "." +
           std::to_string(end.ref.task.index) + " run " +
           std::to_string(end.ref.run) + " number " +
           std::to_string(end.number));
   histories[end.ref.task].ends.push_back(
-      {now, end.ref.run, end.how, worker, w.lives, end.number, false, false});
+      {now, end.ref.run, end.kind, worker, w.lives, end.number, false, false});
 }
 
 namespace {
--- a/src/emulator/emulated_store.cc
+++ b/src/emulator/emulated_store.cc
@@ -50,7 +50,8 @@
   reply.version = store.version;
   const size_t most = range.limit == 0 ? kPage : range.limit;
   auto it = store.rows.lower_bound({range.table, range.from});
-  if (range.past && it != store.rows.end() && it->first.key == range.from)
+  if (range.exclude_from && it != store.rows.end() &&
+      it->first.key == range.from)
     ++it;
   for (; it != store.rows.end() && it->first.table == range.table; ++it) {
     if (reply.rows.size() == most) {
--- a/src/emulator/leased_world.cc
+++ b/src/emulator/leased_world.cc
@@ -133,7 +133,8 @@
   o.leased.durable.enabled = options.has_store;
   o.leased.link.enabled = options.paces_payloads;
   if (options.link_is_stated)
-    o.leased.link.stated = static_cast<double>(options.entry_link_bytes_per_s);
+    o.leased.link.configured_rate =
+        static_cast<double>(options.entry_link_bytes_per_s);
   o.timing = TimingFor(options.bounds);
   e.core = std::make_unique<entry_state>(MakeEntry(o));
   e.inbox.clear();
@@ -157,10 +158,10 @@
   o.seed = random();
   for (int i = 0; i < options.entries; ++i)
     o.seeds.push_back(EntryAddress(i));
-  o.keeps_leases = true;
-  o.keeper.bounds = options.bounds;
-  o.keeper.keeps_ends = options.has_store;
-  o.keeper.first_fence = static_cast<uint64_t>(ToMillis(now)) + s.lives;
+  o.manages_leases = true;
+  o.lease_manager.bounds = options.bounds;
+  o.lease_manager.holds_unknown_ends = options.has_store;
+  o.lease_manager.first_fence = static_cast<uint64_t>(ToMillis(now)) + s.lives;
   o.timing = TimingFor(options.bounds);
   o.redial = Millis(100);
   s.core = std::make_unique<sidecar_state>(MakeSidecar(o));
@@ -203,7 +204,7 @@
   std::vector<entry_event> events;
   events.swap(e.inbox);
   if (e.waits_since.value != 0)
-    NoteLoopWait(e.core->leased.late, now - e.waits_since);
+    RecordLoopWait(e.core->leased.late, now - e.waits_since);
   e.waits_since = {};
   if (e.processor == 0) {
     for (entry_action& a : Tick(*e.core, now, std::move(events)))
@@ -261,7 +262,7 @@
   events.swap(s.inbox);
   for (sidecar_action& a : Tick(*s.core, now, std::move(events)))
     Act(sidecar, a);
-  if (s.core->keeper.waiting.empty())
+  if (s.core->lease_manager.waiting_starts.empty())
     return;
   At(now + kWaitingTick, [this, sidecar, life = s.lives] {
     if (sidecars[static_cast<size_t>(sidecar)].lives == life)
@@ -416,7 +417,7 @@
           sidecar_frame_received{stream->accepted, frame});
       WakeEntry(stream->entry);
     });
-  } else if (auto* call = std::get_if<keeper_action>(&a)) {
+  } else if (auto* call = std::get_if<lease_manager_action>(&a)) {
     CallWorker(sidecar, *call);
   }
 }
@@ -575,7 +576,7 @@
       return;
     Log("worker " + std::to_string(worker), "says goodbye");
     Deliver(worker, sidecars[static_cast<size_t>(worker)].lives,
-            leased_worker_left{AnnouncementOf(worker).info.life});
+            leased_worker_deregistered{AnnouncementOf(worker).info.session});
     if (options.late_words)
       At(now + GoesOnAfterGoodbye(), ends);
     else
--- a/src/emulator/leased_world.h
+++ b/src/emulator/leased_world.h
@@ -54,7 +54,7 @@
   int entries = 3;
   int workers = 4;
   int domains = 1;  // failure domains, dealt to entries and workers in turn
-  room capacity{16'000, 65'536, 0};
+  resources capacity{16'000, 65'536, 0};
   std::vector<double> sizes;   // times that, dealt to workers in turn; empty: 1
   std::vector<double> speeds;  // too; work done against expected
   micros link_delay{800};      // one way, entry to sidecar
@@ -92,7 +92,7 @@
 
 struct worker_run {
   uint32_t run = 0;
-  room need;
+  resources need;
   micros since{0};
   micros ends{0};
   bool will_fail = false;
@@ -271,8 +271,8 @@
   void DropCaller(const std::string& job, micros seen_after = micros{0});
 
   size_t Count(job_fate fate) const;
-  room UsedBy(int worker) const;
-  room CapacityOf(int worker) const;
+  resources UsedBy(int worker) const;
+  resources CapacityOf(int worker) const;
 
   world_options options;
   std::mt19937_64 random;
@@ -287,7 +287,7 @@
   // Faults, decisions and starts, a line each; empty: nobody reads them.
   std::function<void(const std::string&)> log;
   emulated_store store;
-  domain_closings closings;                       // as operators wrote them
+  closed_domains closings;                        // as operators wrote them
   std::map<std::string, micros> closed_at;        // since when, by domain
   std::map<leased_task, task_history> histories;  // of durable jobs
   std::vector<int64_t> retry_after_ms;            // told with refusals
@@ -345,14 +345,14 @@
   micros Transmit(emulated_link& link, size_t bytes);
   micros DelayOf(const emulated_stream& stream) const;
 
-  void CallWorker(int sidecar, const keeper_action& call);
-  void Deliver(int sidecar, uint64_t life, keeper_event event);
+  void CallWorker(int sidecar, const lease_manager_action& call);
+  void Deliver(int sidecar, uint64_t life, lease_manager_event event);
   void RestartWorker(int worker);
   int64_t ClockOf(const emulated_worker& w) const;
   void ExtendLease(emulated_worker& w, int64_t until_ms) const;
   worker_answer DoStart(int worker, const call_run_start& call);
   worker_answer DoStop(int worker, const call_run_stop& call);
-  look_answered DoLook(int worker, const call_look& call);
+  poll_answered DoLook(int worker, const call_poll& call);
   uint32_t PercentOf(const worker_run& run) const;
   void EndRun(emulated_worker& w, const leased_task& task, run_end_kind how);
   void AdvanceWorker(int worker);
--- a/src/emulator/load_play.cc
+++ b/src/emulator/load_play.cc
@@ -35,7 +35,7 @@
     {"pings", 0.711, 2, 200, 1},
 };
 constexpr int64_t kCpu = 3100;  // thousandths of a core, of each task
-constexpr room kWorkerRoom{36'000, 131'072, 0};
+constexpr resources kWorkerRoom{36'000, 131'072, 0};
 constexpr double kSlowTimes = 5.6;
 constexpr micros kWarmUp = Millis(2000);
 constexpr micros kAfter = Millis(8000);
@@ -205,7 +205,7 @@
   uint64_t frames = 0;
   for (const emulated_entry& entry : w.entries)
     frames +=
-        entry.core->metrics.frames_taken + entry.core->metrics.frames_sent;
+        entry.core->metrics.frames_received + entry.core->metrics.frames_sent;
   return frames;
 }
 
--- a/src/emulator/worker_world.cc
+++ b/src/emulator/worker_world.cc
@@ -25,7 +25,7 @@
 
 // ---- [1] Orders to workers --------------------------------------------------
 
-void world::Deliver(int sidecar, uint64_t life, keeper_event event) {
+void world::Deliver(int sidecar, uint64_t life, lease_manager_event event) {
   emulated_sidecar& s = sidecars[static_cast<size_t>(sidecar)];
   if (s.lives != life || s.state == process_state::down)
     return;
@@ -37,8 +37,8 @@
 // a chance, no answer and carried out seconds later; without an answer, the
 // caller's time-out. What a worker has not answered when it goes down, it never
 // does.
-void world::CallWorker(int sidecar, const keeper_action& call) {
-  if (const auto* note = std::get_if<keeper_note>(&call)) {
+void world::CallWorker(int sidecar, const lease_manager_action& call) {
+  if (const auto* note = std::get_if<lease_manager_log>(&call)) {
     Log("sidecar-" + std::to_string(sidecar),
         std::string(note->what) + ", " + note->detail);
     // Seeds stand for the same days whether or not ends are logged.
@@ -58,7 +58,8 @@
     const emulated_worker& w = workers[static_cast<size_t>(sidecar)];
     return w.up && !w.silent && w.lives == lives;
   };
-  const auto answer = [this, sidecar, life, done, late](keeper_event event) {
+  const auto answer = [this, sidecar, life, done,
+                       late](lease_manager_event event) {
     if (late || *done)
       return;
     *done = true;
@@ -68,7 +69,7 @@
        });
   };
   const auto time_out = [this, sidecar, life, done](int64_t ms,
-                                                    keeper_event event) {
+                                                    lease_manager_event event) {
     At(now + Millis(ms), [this, sidecar, life, done, event = std::move(event)] {
       if (*done)
         return;
@@ -79,24 +80,24 @@
   const micros arrives = now + options.worker_delay + extra;
   if (const auto* start = std::get_if<call_run_start>(&call)) {
     CheckClosed(sidecar, *start);
-    time_out(
-        start->timeout_ms,
-        run_start_answered{start->start.ref, start->life, worker_answer::none});
+    time_out(start->timeout_ms,
+             run_start_answered{start->start.ref, start->session,
+                                worker_answer::none});
     At(arrives, [this, sidecar, c = *start, answers, answer] {
       if (answers())
-        answer(run_start_answered{c.start.ref, c.life, DoStart(sidecar, c)});
+        answer(run_start_answered{c.start.ref, c.session, DoStart(sidecar, c)});
     });
   } else if (const auto* stop = std::get_if<call_run_stop>(&call)) {
     time_out(stop->timeout_ms,
-             run_stop_answered{stop->ref, stop->life, worker_answer::none});
+             run_stop_answered{stop->ref, stop->session, worker_answer::none});
     At(arrives, [this, sidecar, c = *stop, answers, answer] {
       if (answers())
-        answer(run_stop_answered{c.ref, c.life, DoStop(sidecar, c)});
+        answer(run_stop_answered{c.ref, c.session, DoStop(sidecar, c)});
     });
-  } else if (const auto* look = std::get_if<call_look>(&call)) {
-    look_answered none;
+  } else if (const auto* look = std::get_if<call_poll>(&call)) {
+    poll_answered none;
     none.number = look->number;
-    none.life = look->life;
+    none.session = look->session;
     time_out(look->timeout_ms, none);
     At(arrives, [this, sidecar, c = *look, answers, answer] {
       // The lease is extended at once; the answer waits for an end.
@@ -104,12 +105,12 @@
         return;
       const micros until = now + Millis(c.wait_ms);
       auto poll = std::make_shared<action>();
-      call_look first = c;
+      call_poll first = c;
       *poll = [this, sidecar, c = first, until, answers, answer,
                poll]() mutable {
         if (!answers())
           return;
-        look_answered seen = DoLook(sidecar, c);
+        poll_answered seen = DoLook(sidecar, c);
         c.lease_until_ms = 0;
         if (seen.answer != worker_answer::ok || !seen.ended.empty() ||
             now >= until) {
@@ -131,7 +132,7 @@
 }
 
 void world::ExtendLease(emulated_worker& w, int64_t until_ms) const {
-  const int64_t longest = ClockOf(w) + ToMillis(options.bounds.longest);
+  const int64_t longest = ClockOf(w) + ToMillis(options.bounds.max_lease);
   w.lease_until_ms = std::max(w.lease_until_ms, std::min(until_ms, longest));
 }
 
@@ -145,16 +146,16 @@
   w.runs.erase(it);
 }
 
-room world::UsedBy(int worker) const {
-  room used;
+resources world::UsedBy(int worker) const {
+  resources used;
   for (const auto& [task, run] : workers[static_cast<size_t>(worker)].runs)
     used = used + run.need;
   return used;
 }
 
-room world::CapacityOf(int worker) const {
+resources world::CapacityOf(int worker) const {
   const double size = DealtTo(worker, options.sizes);
-  room capacity = options.capacity;
+  resources capacity = options.capacity;
   capacity.cpu = static_cast<int64_t>(static_cast<double>(capacity.cpu) * size);
   return capacity;
 }
@@ -171,7 +172,7 @@
   const micros told = workers[static_cast<size_t>(worker)].leaves_told;
   if (told.value != 0 && now > told + options.drain_within)
     Broken("started on a worker that leaves: " + name);
-  const room free = CapacityOf(worker) - UsedBy(worker);
+  const resources free = CapacityOf(worker) - UsedBy(worker);
   if (!Fits(start.need, free))
     Broken("worker " + std::to_string(worker) + " is brought over its room");
   const auto job = jobs.find(task.job);
@@ -187,8 +188,8 @@
 
 worker_answer world::DoStart(int worker, const call_run_start& c) {
   emulated_worker& w = workers[static_cast<size_t>(worker)];
-  if (c.life.id != w.id)
-    return worker_answer::other_life;
+  if (c.session.id != w.id)
+    return worker_answer::other_session;
   if (c.fence < w.fence)
     return worker_answer::stale_fence;
   w.fence = c.fence;
@@ -199,7 +200,7 @@
   if (there != w.runs.end() || w.over[task] >= c.start.ref.run)
     return worker_answer::superseded;
   if (c.lease_until_ms <= ClockOf(w))
-    return worker_answer::late;
+    return worker_answer::lease_expired;
   CheckStart(worker, c.start);
   ExtendLease(w, c.lease_until_ms);
   const emulated_job& job = jobs[task.job];
@@ -223,8 +224,8 @@
 
 worker_answer world::DoStop(int worker, const call_run_stop& c) {
   emulated_worker& w = workers[static_cast<size_t>(worker)];
-  if (c.life.id != w.id)
-    return worker_answer::other_life;
+  if (c.session.id != w.id)
+    return worker_answer::other_session;
   if (c.fence < w.fence)
     return worker_answer::stale_fence;
   w.fence = c.fence;
@@ -249,13 +250,13 @@
       std::clamp(past / std::max(1.0, whole), 0.0, 1.0) * 100);
 }
 
-look_answered world::DoLook(int worker, const call_look& c) {
+poll_answered world::DoLook(int worker, const call_poll& c) {
   emulated_worker& w = workers[static_cast<size_t>(worker)];
-  look_answered a;
+  poll_answered a;
   a.number = c.number;
-  a.life = c.life;
-  if (c.life.id != w.id) {
-    a.answer = worker_answer::other_life;
+  a.session = c.session;
+  if (c.session.id != w.id) {
+    a.answer = worker_answer::other_session;
     return a;
   }
   if (c.fence < w.fence) {
@@ -264,9 +265,10 @@
   }
   w.fence = c.fence;
   ExtendLease(w, c.lease_until_ms);
-  NoteAck(worker, c.seen);
-  std::erase_if(w.ended,
-                [&](const listed_end& e) { return e.number <= c.seen; });
+  NoteAck(worker, c.acked_through);
+  std::erase_if(w.ended, [&](const listed_end& e) {
+    return e.number <= c.acked_through;
+  });
   a.answer = worker_answer::ok;
   a.started_ms = options.late_words ? 0 : w.started_ms;
   a.clock_ms = ClockOf(w);
@@ -329,7 +331,7 @@
 leased_worker_announced world::AnnouncementOf(int worker) const {
   const emulated_worker& w = workers[static_cast<size_t>(worker)];
   leased_worker_announced e;
-  e.info.life = {w.id, options.late_words ? 0 : w.started_ms};
+  e.info.session = {w.id, options.late_words ? 0 : w.started_ms};
   e.info.upstream = kUpstream;
   e.info.capacity = CapacityOf(worker);
   e.info.labels = w.labels;
@@ -355,7 +357,7 @@
   const uint64_t life = sidecars[static_cast<size_t>(worker)].lives;
   At(comes, [this, worker, life, word = w.past[which]] {
     Log("worker " + std::to_string(worker),
-        "late announcement of " + word.info.life.id);
+        "late announcement of " + word.info.session.id);
     Deliver(worker, life, word);
   });
 }
--- a/src/net/codec.cc
+++ b/src/net/codec.cc
@@ -8,7 +8,7 @@
 
 #include "codec.h"
 
-#include "cassiaferry/pack.h"
+#include "cassiaferry/compression.h"
 
 #include <algorithm>
 #include <utility>
@@ -32,24 +32,24 @@
   out->set_version(document.version.value);
   out->set_change_id(document.change_id);
   out->set_author(document.author);
-  out->set_packed_json(Pack(document.json));
+  out->set_packed_json(Compress(document.json));
 }
 
 // A text that can't be read becomes empty, which no party takes for a
 // configuration.
 config_document Read(const wire::ConfigDocument& document) {
   return {config_version{document.version()}, document.change_id(),
-          document.author(), Unpack(document.packed_json()).value_or("")};
+          document.author(), Decompress(document.packed_json()).value_or("")};
 }
 
-void Write(const domain_closings& closings, wire::DomainClosings* out) {
+void Write(const closed_domains& closings, wire::DomainClosings* out) {
   out->set_version(closings.version.value);
   for (const std::string& domain : closings.domains)
     out->add_domains(domain);
 }
 
-domain_closings Read(const wire::DomainClosings& closings) {
-  return {closings_version{closings.version()},
+closed_domains Read(const wire::DomainClosings& closings) {
+  return {closed_domains_version{closings.version()},
           {closings.domains().begin(), closings.domains().end()}};
 }
 
@@ -61,13 +61,13 @@
 
 // ---- [2] Leased runs --------------------------------------------------------
 
-void Write(const room& r, wire::Room* out) {
+void Write(const resources& r, wire::Room* out) {
   out->set_cpu(r.cpu);
   out->set_memory_mb(r.memory_mb);
   out->set_gpus(r.gpus);
 }
 
-room Read(const wire::Room& r) {
+resources Read(const wire::Room& r) {
   return {r.cpu(), r.memory_mb(), r.gpus()};
 }
 
@@ -102,7 +102,7 @@
       batch->set_job(start.ref.task.job);
       batch->set_payload(start.payload);
       batch->set_durable(start.durable);
-      batch->set_packed(start.packed);
+      batch->set_packed(start.compressed);
     }
     Write(start, batch->add_starts());
   }
@@ -117,7 +117,7 @@
     s.expected_ms = start.expected_ms();
     s.payload = batch.payload();
     s.durable = batch.durable();
-    s.packed = batch.packed();
+    s.compressed = batch.packed();
     out.push_back(std::move(s));
   }
 }
@@ -130,15 +130,15 @@
     Write(ref, out->add_stops());
   out->set_acked_end(orders.acked_end);
   out->set_wanted_cpu(orders.wanted_cpu);
-  out->set_follows(orders.follows);
+  out->set_follows(orders.follows_resources);
   out->set_is_first(orders.is_first);
   for (const run_ref& ref : orders.known)
     Write(ref, out->add_known());
-  out->set_taken_end(orders.taken_end);
-  for (const settled_end& settled : orders.settled) {
+  out->set_taken_end(orders.last_received_end);
+  for (const resolved_end& settled : orders.resolved_ends) {
     wire::SettledEnd* s = out->add_settled();
     Write(settled.ref, s->mutable_ref());
-    s->set_fate(static_cast<uint32_t>(settled.fate));
+    s->set_fate(static_cast<uint32_t>(settled.disposition));
   }
 }
 
@@ -152,20 +152,21 @@
     o.stops.push_back(Read(ref));
   o.acked_end = orders.acked_end();
   o.wanted_cpu = orders.wanted_cpu();
-  o.follows = orders.follows();
+  o.follows_resources = orders.follows();
   o.is_first = orders.is_first();
   for (const wire::RunRef& ref : orders.known())
     o.known.push_back(Read(ref));
-  o.taken_end = orders.taken_end();
+  o.last_received_end = orders.taken_end();
   for (const wire::SettledEnd& settled : orders.settled())
-    o.settled.push_back(
-        {Read(settled.ref()), Bounded(settled.fate(), end_fate::pass_on)});
+    o.resolved_ends.push_back(
+        {Read(settled.ref()),
+         Bounded(settled.fate(), end_disposition::offer_to_others)});
   return o;
 }
 
 void Write(const leased_worker_info& info, wire::LeasedWorkerInfo* out) {
-  out->set_life(info.life.id);
-  out->set_started_ms(info.life.started_ms);
+  out->set_life(info.session.id);
+  out->set_started_ms(info.session.started_ms);
   out->set_upstream(info.upstream);
   Write(info.capacity, out->mutable_capacity());
   for (const std::string& label : info.labels)
@@ -182,7 +183,7 @@
 void Write(const run_end& end, wire::RunEnd* out) {
   out->set_number(end.number);
   Write(end.ref, out->mutable_ref());
-  out->set_how(static_cast<uint32_t>(end.how));
+  out->set_how(static_cast<uint32_t>(end.kind));
   out->set_run_ms(end.run_ms);
 }
 
@@ -194,19 +195,19 @@
 void Write(const lease_reports& reports, wire::LeaseReports* out) {
   out->set_stamp(reports.stamp);
   out->set_starts_seen(reports.starts_seen);
-  out->set_takes_work(reports.takes_work);
+  out->set_takes_work(reports.accepts_work);
   Write(reports.free, out->mutable_free());
   if (reports.worker)
     Write(*reports.worker, out->mutable_worker());
   for (const run_end& end : reports.ends)
     Write(end, out->add_ends());
-  out->set_settled_seen(reports.settled_seen);
+  out->set_settled_seen(reports.resolved_seen);
   for (const run_end& end : reports.unclaimed)
     Write(end, out->add_unclaimed());
   out->set_pace(reports.pace);
-  out->set_heard_sent(reports.heard.sent);
-  out->set_heard_transit(reports.heard.transit);
-  out->set_heard_held(reports.heard.held);
+  out->set_heard_sent(reports.last_received.sent);
+  out->set_heard_transit(reports.last_received.transit);
+  out->set_heard_held(reports.last_received.held);
   for (const straggler& slow : reports.stragglers) {
     wire::Straggler* st = out->add_stragglers();
     Write(slow.ref, st->mutable_ref());
@@ -219,18 +220,18 @@
   lease_reports r;
   r.stamp = reports.stamp();
   r.starts_seen = reports.starts_seen();
-  r.takes_work = reports.takes_work();
+  r.accepts_work = reports.takes_work();
   r.free = Read(reports.free());
   if (reports.has_worker())
     r.worker = Read(reports.worker());
   for (const wire::RunEnd& end : reports.ends())
     r.ends.push_back(Read(end));
-  r.settled_seen = reports.settled_seen();
+  r.resolved_seen = reports.settled_seen();
   for (const wire::RunEnd& end : reports.unclaimed())
     r.unclaimed.push_back(Read(end));
   r.pace = reports.pace();
-  r.heard = {reports.heard_sent(), reports.heard_transit(),
-             reports.heard_held()};
+  r.last_received = {reports.heard_sent(), reports.heard_transit(),
+                     reports.heard_held()};
   for (const wire::Straggler& slow : reports.stragglers())
     r.stragglers.push_back({Read(slow.ref()), slow.run_ms(), slow.percent()});
   return r;
@@ -295,15 +296,15 @@
   out.set_backlog_tasks(frame.backlog_tasks);
   out.set_declines(frame.declines);
   out.set_acked_through(frame.acked_through);
-  out.set_goodbye(frame.goodbye);
+  out.set_goodbye(frame.shutdown_notice);
   for (const std::string& peer : frame.peers)
     out.add_peers(peer);
   out.set_version(frame.version.value);
   if (frame.config)
     Write(*frame.config, out.mutable_config());
-  out.set_closed_as_of(frame.closed_as_of.value);
-  if (frame.closings)
-    Write(*frame.closings, out.mutable_closings());
+  out.set_closed_as_of(frame.closed_version.value);
+  if (frame.closed_set)
+    Write(*frame.closed_set, out.mutable_closings());
   if (frame.orders)
     Write(*frame.orders, out.mutable_orders());
   return out;
@@ -327,15 +328,15 @@
   f.backlog_tasks = frame.backlog_tasks();
   f.declines = frame.declines();
   f.acked_through = frame.acked_through();
-  f.goodbye = frame.goodbye();
+  f.shutdown_notice = frame.goodbye();
   for (std::string& peer : *frame.mutable_peers())
     f.peers.push_back(std::move(peer));
   f.version = config_version{frame.version()};
   if (frame.has_config())
     f.config = Read(frame.config());
-  f.closed_as_of = closings_version{frame.closed_as_of()};
+  f.closed_version = closed_domains_version{frame.closed_as_of()};
   if (frame.has_closings())
-    f.closings = Read(frame.closings());
+    f.closed_set = Read(frame.closings());
   if (frame.has_orders())
     f.orders = Read(frame.orders());
   return f;
@@ -360,27 +361,27 @@
 }
 
 void Write(const reconcile_reply& reply, wire::ReconcileReply* out) {
-  out->set_memory(reply.memory);
+  out->set_memory(reply.memory_token);
   for (const reconcile_record& r : reply.tasks) {
     wire::Reconciled* item = out->add_tasks();
     Write(r.task, item->mutable_task());
-    item->set_fate(static_cast<uint32_t>(r.fate));
+    item->set_fate(static_cast<uint32_t>(r.outcome));
   }
 }
 
 reconcile_reply Read(const wire::ReconcileReply& reply) {
   reconcile_reply r;
-  r.memory = reply.memory();
+  r.memory_token = reply.memory();
   for (const wire::Reconciled& item : reply.tasks())
     r.tasks.push_back(
-        {Read(item.task()), Bounded(item.fate(), task_fate::resolved)});
+        {Read(item.task()), Bounded(item.fate(), task_outcome::resolved)});
   return r;
 }
 
 void Write(const result_record& result, wire::Result* out) {
   out->set_number(result.number);
   Write(result.task, out->mutable_task());
-  out->set_what(static_cast<uint32_t>(result.what));
+  out->set_what(static_cast<uint32_t>(result.run_verdict));
   out->set_ok(result.ok);
   out->set_run_ms(result.run_ms);
   out->set_queue_ms(result.queue_ms);
@@ -391,7 +392,7 @@
   result_record r;
   r.number = result.number();
   r.task = Read(result.task());
-  r.what = Bounded(result.what(), verdict::ran);
+  r.run_verdict = Bounded(result.what(), verdict::ran);
   r.ok = result.ok();
   r.run_ms = result.run_ms();
   r.queue_ms = result.queue_ms();
@@ -410,7 +411,7 @@
     hello->set_name(frame.hello->name);
     hello->set_failure_domain(frame.hello->failure_domain);
     hello->set_version(frame.hello->version.value);
-    hello->set_closed_as_of(frame.hello->closed_as_of.value);
+    hello->set_closed_as_of(frame.hello->closed_version.value);
   }
   if (frame.upstream)
     Write(*frame.upstream, out.mutable_upstream());
@@ -430,12 +431,12 @@
   out.set_free_slots(frame.load.free_slots);
   out.set_queued(frame.load.queued);
   out.set_starts_seen(frame.load.starts_seen);
-  out.set_goodbye(frame.goodbye);
+  out.set_goodbye(frame.shutdown_notice);
   out.set_version(frame.version.value);
   out.set_wants_config(frame.wants_config);
-  out.set_closed_as_of(frame.closed_as_of.value);
-  if (frame.closings)
-    Write(*frame.closings, out.mutable_closings());
+  out.set_closed_as_of(frame.closed_version.value);
+  if (frame.closed_set)
+    Write(*frame.closed_set, out.mutable_closings());
   if (frame.config)
     Write(*frame.config, out.mutable_config());
   if (frame.reports)
@@ -451,7 +452,7 @@
     f.hello =
         sidecar_hello{incarnation{hello.sidecar()}, hello.name(),
                       hello.failure_domain(), config_version{hello.version()},
-                      closings_version{hello.closed_as_of()}};
+                      closed_domains_version{hello.closed_as_of()}};
   }
   if (frame.has_upstream())
     f.upstream = Read(frame.upstream());
@@ -468,11 +469,11 @@
   f.load.free_slots = frame.free_slots();
   f.load.queued = frame.queued();
   f.load.starts_seen = frame.starts_seen();
-  f.goodbye = frame.goodbye();
+  f.shutdown_notice = frame.goodbye();
   f.wants_config = frame.wants_config();
-  f.closed_as_of = closings_version{frame.closed_as_of()};
+  f.closed_version = closed_domains_version{frame.closed_as_of()};
   if (frame.has_closings())
-    f.closings = Read(frame.closings());
+    f.closed_set = Read(frame.closings());
   f.version = config_version{frame.version()};
   if (frame.has_config())
     f.config = Read(frame.config());
--- a/src/net/http_client.cc
+++ b/src/net/http_client.cc
@@ -35,7 +35,7 @@
   int copies = 0;          // of the request, begun so far; counted if send_once
 };
 
-size_t TakeBody(char* data, size_t size, size_t count, void* context) {
+size_t HandleBody(char* data, size_t size, size_t count, void* context) {
   static_cast<transfer*>(context)->reply.body.append(data, size * count);
   return size * count;
 }
@@ -70,7 +70,7 @@
   curl_easy_setopt(h, CURLOPT_URL, t.call.url.c_str());
   curl_easy_setopt(h, CURLOPT_CUSTOMREQUEST, t.call.method.c_str());
   curl_easy_setopt(h, CURLOPT_HTTPHEADER, t.headers);
-  curl_easy_setopt(h, CURLOPT_WRITEFUNCTION, TakeBody);
+  curl_easy_setopt(h, CURLOPT_WRITEFUNCTION, HandleBody);
   curl_easy_setopt(h, CURLOPT_WRITEDATA, &t);
   curl_easy_setopt(h, CURLOPT_HEADERFUNCTION, TakeHeader);
   curl_easy_setopt(h, CURLOPT_HEADERDATA, &t);
--- a/tests/claims_unit_test.cc
+++ b/tests/claims_unit_test.cc
@@ -14,8 +14,8 @@
 constexpr int64_t kExpires = 500;  // wall clock; the tests' stands at 0
 
 // A table as the platform keeps it, and two owners with claims on it.
-struct claim_world {
-  claim_world() {
+struct claims_fixture {
+  claims_fixture() {
     a.self = incarnation{1};
     a.self_address = "a";
     b.self = incarnation{2};
@@ -43,7 +43,9 @@
   }
 
   // Carries out what the owner asks for, until it asks for nothing more.
-  void Settle(claims_state& c, claims_state& other, bool lose_reply = false) {
+  void RunToCompletion(claims_state& c,
+                       claims_state& other,
+                       bool lose_reply = false) {
     for (int round = 0; round < 20; ++round) {
       TickClaims(c, micros{time += 1'000'000}, 0);
       std::vector<claim_action> actions;
@@ -51,21 +53,21 @@
       if (actions.empty())
         return;
       for (const claim_action& action : actions)
-        Carry(c, other, action, lose_reply);
+        Deliver(c, other, action, lose_reply);
       lose_reply = false;
     }
   }
 
-  void Carry(claims_state& c,
-             claims_state& other,
-             const claim_action& action,
-             bool lose_reply) {
+  void Deliver(claims_state& c,
+               claims_state& other,
+               const claim_action& action,
+               bool lose_reply) {
     const micros now{time};
     if (const auto* t = std::get_if<table_transaction>(&action)) {
       std::vector<table_result> results = Apply(t->ops);
-      OnTransaction(c, now,
-                    {t->call, !lose_reply,
-                     lose_reply ? std::vector<table_result>() : results});
+      OnTransactionReply(c, now,
+                         {t->call, !lose_reply,
+                          lose_reply ? std::vector<table_result>() : results});
     } else if (const auto* r = std::get_if<table_read>(&action)) {
       read_reply reply{r->call, reads_answered, {}};
       for (const std::string& key : r->keys) {
@@ -73,10 +75,10 @@
         reply.rows.push_back(it == rows.end() ? std::nullopt
                                               : std::optional(it->second));
       }
-      OnRead(c, now, reply);
-    } else if (const auto* ask = std::get_if<ask_owner>(&action)) {
-      OnOwner(c, now,
-              {ask->call, owner_answers, StateOfNonce(other, ask->nonce)});
+      OnReadReply(c, now, reply);
+    } else if (const auto* ask = std::get_if<owner_query>(&action)) {
+      OnOwnerReply(c, now,
+                   {ask->call, owner_answers, StateOfNonce(other, ask->nonce)});
     }
   }
 
@@ -91,14 +93,14 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(claim_world, "Claim_WhenKeyIsFree_IsGranted") {
+TEST_CASE_METHOD(claims_fixture, "Claim_WhenKeyIsFree_IsGranted") {
   BeginClaim(a, job_seq{1}, "k", 11, kDigest, kExpires);
-  Settle(a, b);
+  RunToCompletion(a, b);
   REQUIRE(a.decisions.size() == 1);
   CHECK(a.decisions[0].granted);
 }
 
-TEST_CASE_METHOD(claim_world, "Claims_WhenManyWait_ShareOneTransaction") {
+TEST_CASE_METHOD(claims_fixture, "Claims_WhenManyWait_ShareOneTransaction") {
   for (uint64_t i = 1; i <= 50; ++i)
     BeginClaim(a, job_seq{i}, "k" + std::to_string(i), 100 + i, kDigest,
                kExpires);
@@ -109,128 +111,130 @@
 
 // The platform writes the claim, and its reply is lost. Reading back shows the
 // claim's own nonce: the job may run.
-TEST_CASE_METHOD(claim_world, "Claim_WhenReplyIsLostAfterTheWrite_IsGranted") {
+TEST_CASE_METHOD(claims_fixture,
+                 "Claim_WhenReplyIsLostAfterTheWrite_IsGranted") {
   BeginClaim(a, job_seq{1}, "k", 11, kDigest, kExpires);
-  Settle(a, b, true);
+  RunToCompletion(a, b, true);
   REQUIRE(a.decisions.size() == 1);
   CHECK(a.decisions[0].granted);
 }
 
 // The platform is down for good: refused as not run, since nothing was started.
-TEST_CASE_METHOD(claim_world, "Claim_WhenPlatformIsDown_IsRefusedNotRun") {
+TEST_CASE_METHOD(claims_fixture, "Claim_WhenPlatformIsDown_IsRefusedNotRun") {
   BeginClaim(a, job_seq{1}, "k", 11, kDigest, kExpires);
   TickClaims(a, micros{1}, 0);
-  OnTransaction(a, micros{2},
-                {std::get<table_transaction>(a.actions[0]).call, false, {}});
+  OnTransactionReply(
+      a, micros{2},
+      {std::get<table_transaction>(a.actions[0]).call, false, {}});
   a.actions.clear();
   reads_answered = false;
-  Settle(a, b);
+  RunToCompletion(a, b);
   REQUIRE(a.decisions.size() == 1);
-  CHECK(a.decisions[0].why == reason::platform_unavailable);
-  CHECK(a.decisions[0].what == verdict::not_run);
+  CHECK(a.decisions[0].cause == reason::platform_unavailable);
+  CHECK(a.decisions[0].run_verdict == verdict::not_run);
   CHECK(StateOfNonce(a, 11) == nonce_state::abandoned);
 }
 
 // The rider sends the payment twice, to two entries; the first still runs.
-TEST_CASE_METHOD(claim_world, "Claim_WhenAnotherRunsTheKey_IsInProgress") {
+TEST_CASE_METHOD(claims_fixture, "Claim_WhenAnotherRunsTheKey_IsInProgress") {
   BeginClaim(a, job_seq{1}, "k", 11, kDigest, kExpires);
-  Settle(a, b);
+  RunToCompletion(a, b);
   BeginClaim(b, job_seq{1}, "k", 22, kDigest, kExpires);
-  Settle(b, a);
+  RunToCompletion(b, a);
   REQUIRE(b.decisions.size() == 1);
   CHECK_FALSE(b.decisions[0].granted);
-  CHECK(b.decisions[0].why == reason::key_in_progress);
-  CHECK(b.decisions[0].what == verdict::may_have_run);
+  CHECK(b.decisions[0].cause == reason::key_in_progress);
+  CHECK(b.decisions[0].run_verdict == verdict::may_have_run);
 }
 
-TEST_CASE_METHOD(claim_world, "Claim_WhenTheKeyIsDone_RepeatsItsOutcome") {
+TEST_CASE_METHOD(claims_fixture, "Claim_WhenTheKeyIsDone_RepeatsItsOutcome") {
   BeginClaim(a, job_seq{1}, "k", 11, kDigest, kExpires);
-  Settle(a, b);
+  RunToCompletion(a, b);
   EndClaim(a, job_seq{1}, verdict::ran, "the answer");
-  Settle(a, b);
-  CHECK(ClaimsSettled(a));
+  RunToCompletion(a, b);
+  CHECK(HasNoOpenClaims(a));
   BeginClaim(b, job_seq{1}, "k", 22, kDigest, kExpires);
-  Settle(b, a);
+  RunToCompletion(b, a);
   REQUIRE(b.decisions.size() == 1);
   CHECK(b.decisions[0].outcome == "the answer");
 }
 
-TEST_CASE_METHOD(claim_world, "Claim_WhenTheBodyDiffers_Conflicts") {
+TEST_CASE_METHOD(claims_fixture, "Claim_WhenTheBodyDiffers_Conflicts") {
   BeginClaim(a, job_seq{1}, "k", 11, kDigest, kExpires);
-  Settle(a, b);
+  RunToCompletion(a, b);
   BeginClaim(b, job_seq{1}, "k", 22, kDigest + 1, kExpires);
-  Settle(b, a);
+  RunToCompletion(b, a);
   REQUIRE(b.decisions.size() == 1);
-  CHECK(b.decisions[0].why == reason::key_conflict);
-  CHECK(b.decisions[0].what == verdict::not_run);
+  CHECK(b.decisions[0].cause == reason::key_conflict);
+  CHECK(b.decisions[0].run_verdict == verdict::not_run);
 }
 
 // The first job ended without running; its key must be free again.
-TEST_CASE_METHOD(claim_world, "Key_WhenItsJobEndedNotRun_IsFreeAgain") {
+TEST_CASE_METHOD(claims_fixture, "Key_WhenItsJobEndedNotRun_IsFreeAgain") {
   BeginClaim(a, job_seq{1}, "k", 11, kDigest, kExpires);
-  Settle(a, b);
+  RunToCompletion(a, b);
   EndClaim(a, job_seq{1}, verdict::not_run, "");
-  Settle(a, b);
+  RunToCompletion(a, b);
   BeginClaim(b, job_seq{1}, "k", 22, kDigest, kExpires);
-  Settle(b, a);
+  RunToCompletion(b, a);
   REQUIRE(b.decisions.size() == 1);
   CHECK(b.decisions[0].granted);
 }
 
 // As before, but the release never reached the platform. The row still names
 // the first owner, who says that it gave the claim up; it is taken over.
-TEST_CASE_METHOD(claim_world, "Key_WhenItsReleaseIsLost_IsTakenOver") {
+TEST_CASE_METHOD(claims_fixture, "Key_WhenItsReleaseIsLost_IsTakenOver") {
   BeginClaim(a, job_seq{1}, "k", 11, kDigest, kExpires);
-  Settle(a, b);
+  RunToCompletion(a, b);
   EndClaim(a, job_seq{1}, verdict::not_run, "");
   BeginClaim(b, job_seq{1}, "k", 22, kDigest, kExpires);
-  Settle(b, a);
+  RunToCompletion(b, a);
   REQUIRE(b.decisions.size() == 1);
   CHECK(b.decisions[0].granted);
   CHECK(ReadClaim(rows.at("k").value)->nonce == 22);
 }
 
 // The owner died with the job under way: nobody can say whether it ran.
-TEST_CASE_METHOD(claim_world, "Claim_WhenTheOwnerIsGone_MayHaveRun") {
+TEST_CASE_METHOD(claims_fixture, "Claim_WhenTheOwnerIsGone_MayHaveRun") {
   BeginClaim(a, job_seq{1}, "k", 11, kDigest, kExpires);
-  Settle(a, b);
+  RunToCompletion(a, b);
   owner_answers = false;
   BeginClaim(b, job_seq{1}, "k", 22, kDigest, kExpires);
-  Settle(b, a);
+  RunToCompletion(b, a);
   REQUIRE(b.decisions.size() == 1);
-  CHECK(b.decisions[0].why == reason::key_owner_lost);
-  CHECK(b.decisions[0].what == verdict::may_have_run);
+  CHECK(b.decisions[0].cause == reason::key_owner_lost);
+  CHECK(b.decisions[0].run_verdict == verdict::may_have_run);
 }
 
 // An outcome's write takes effect but its reply is lost: the retry finds its
 // own row done and is content.
-TEST_CASE_METHOD(claim_world, "Outcome_WhenItsReplyIsLost_IsWrittenOnce") {
+TEST_CASE_METHOD(claims_fixture, "Outcome_WhenItsReplyIsLost_IsWrittenOnce") {
   BeginClaim(a, job_seq{1}, "k", 11, kDigest, kExpires);
-  Settle(a, b);
+  RunToCompletion(a, b);
   EndClaim(a, job_seq{1}, verdict::ran, "the answer");
-  Settle(a, b, true);
-  CHECK(ClaimsSettled(a));
+  RunToCompletion(a, b, true);
+  CHECK(HasNoOpenClaims(a));
   CHECK(ReadClaim(rows.at("k").value)->outcome == "the answer");
 }
 
 // "Abandoned" must never be said of a claim that was let run, even while its
 // outcome waits for the platform.
-TEST_CASE_METHOD(claim_world, "Nonce_WhenItsOutcomeIsNotWritten_IsRunning") {
+TEST_CASE_METHOD(claims_fixture, "Nonce_WhenItsOutcomeIsNotWritten_IsRunning") {
   BeginClaim(a, job_seq{1}, "k", 11, kDigest, kExpires);
-  Settle(a, b);
+  RunToCompletion(a, b);
   EndClaim(a, job_seq{1}, verdict::ran, "the answer");
   CHECK(StateOfNonce(a, 11) == nonce_state::running);
 }
 
-TEST_CASE_METHOD(claim_world, "DoneRow_WhenItExpires_IsSwept") {
+TEST_CASE_METHOD(claims_fixture, "DoneRow_WhenItExpires_IsSwept") {
   BeginClaim(a, job_seq{1}, "k", 11, kDigest, kExpires);
-  Settle(a, b);
+  RunToCompletion(a, b);
   EndClaim(a, job_seq{1}, verdict::ran, "the answer");
-  Settle(a, b);
+  RunToCompletion(a, b);
   REQUIRE(rows.count("k") == 1);
   a.actions.clear();
   TickClaims(a, micros{time += 1'000'000}, kExpires);
   REQUIRE(a.actions.size() == 1);
-  Carry(a, b, a.actions[0], false);
+  Deliver(a, b, a.actions[0], false);
   CHECK(rows.count("k") == 0);
 }
