--- a/tests/closings_unit_test.cc
+++ b/tests/closed_domains_unit_test.cc
@@ -20,79 +20,80 @@
 
 // ---- [1] Versions -----------------------------------------------------------
 
-domain_closings Closings(uint64_t version, std::set<std::string> domains) {
-  return {closings_version{version}, std::move(domains)};
+closed_domains MakeClosedDomains(uint64_t version,
+                                 std::set<std::string> domains) {
+  return {closed_domains_version{version}, std::move(domains)};
 }
 
 // Guards against news of a closing that overtake those of the reopening.
 TEST_CASE("closings_told_out_of_order_newest_holds") {
-  closings_state s;
-  CHECK(TakeToldClosings(s, Closings(20, {})) == false);
-  CHECK(TakeToldClosings(s, Closings(10, {"a"})) == false);
+  closed_domains_state s;
+  CHECK(UpdateClosedDomainsFromPeer(s, MakeClosedDomains(20, {})) == false);
+  CHECK(UpdateClosedDomainsFromPeer(s, MakeClosedDomains(10, {"a"})) == false);
   CHECK_FALSE(IsClosed(s, "a"));
-  CHECK(TakeToldClosings(s, Closings(30, {"b"})));
+  CHECK(UpdateClosedDomainsFromPeer(s, MakeClosedDomains(30, {"b"})));
   CHECK(IsClosed(s, "b"));
 }
 
 // Guards against a closing that is told by one who missed the reopening, to one
 // who missed both.
 TEST_CASE("closings_read_after_both_changes_older_closing_is_passed_over") {
-  closings_state s;
-  TakeReadClosings(s, Closings(5, {}));
-  CHECK_FALSE(TakeReadClosings(s, Closings(40, {})));
-  CHECK_FALSE(TakeToldClosings(s, Closings(10, {"a"})));
+  closed_domains_state s;
+  UpdateClosedDomainsFromStore(s, MakeClosedDomains(5, {}));
+  CHECK_FALSE(UpdateClosedDomainsFromStore(s, MakeClosedDomains(40, {})));
+  CHECK_FALSE(UpdateClosedDomainsFromPeer(s, MakeClosedDomains(10, {"a"})));
   CHECK_FALSE(IsClosed(s, "a"));
   // The other one is told.
-  CHECK(s.known == Closings(40, {}));
+  CHECK(s.known == MakeClosedDomains(40, {}));
 }
 
 // Guards against a process cut from the store that holds its old reading
 // against newer news.
 TEST_CASE("closings_told_newer_than_read_hold") {
-  closings_state s;
-  TakeReadClosings(s, Closings(20, {}));
-  CHECK(TakeToldClosings(s, Closings(30, {"a"})));
+  closed_domains_state s;
+  UpdateClosedDomainsFromStore(s, MakeClosedDomains(20, {}));
+  CHECK(UpdateClosedDomainsFromPeer(s, MakeClosedDomains(30, {"a"})));
   CHECK(IsClosed(s, "a"));
   // Its next reading is older than what it was told: a feed that lags.
-  CHECK_FALSE(TakeReadClosings(s, Closings(25, {})));
+  CHECK_FALSE(UpdateClosedDomainsFromStore(s, MakeClosedDomains(25, {})));
   CHECK(IsClosed(s, "a"));
-  CHECK(TakeReadClosings(s, Closings(31, {})));
+  CHECK(UpdateClosedDomainsFromStore(s, MakeClosedDomains(31, {})));
   CHECK_FALSE(IsClosed(s, "a"));
 }
 
 // Guards against readings of one state, each under its own number, that travel
 // to all processes.
 TEST_CASE("closings_read_unchanged_keep_their_number") {
-  closings_state s;
-  TakeReadClosings(s, Closings(10, {"a"}));
-  TakeReadClosings(s, Closings(50, {"a"}));
+  closed_domains_state s;
+  UpdateClosedDomainsFromStore(s, MakeClosedDomains(10, {"a"}));
+  UpdateClosedDomainsFromStore(s, MakeClosedDomains(50, {"a"}));
   CHECK(s.known.version.value == 10);
 }
 
 // ---- [2] Reading ------------------------------------------------------------
 
 TEST_CASE("closings_read_whole_names_all_and_no_others") {
-  const domain_closings before = Closings(1, {"a"});
-  const domain_closings read =
-      ReadClosings(before, {{"b", closing_word::closed}}, true, {9});
-  CHECK(read == Closings(9, {"b"}));
+  const closed_domains before = MakeClosedDomains(1, {"a"});
+  const closed_domains read =
+      ClosedDomainsFromRows(before, {{"b", domain_status::closed}}, true, {9});
+  CHECK(read == MakeClosedDomains(9, {"b"}));
 }
 
 TEST_CASE("closings_read_changes_others_stay") {
-  const domain_closings before = Closings(1, {"a", "b"});
-  const domain_closings read = ReadClosings(
-      before, {{"b", closing_word::open}, {"c", closing_word::closed}}, false,
+  const closed_domains before = MakeClosedDomains(1, {"a", "b"});
+  const closed_domains read = ClosedDomainsFromRows(
+      before, {{"b", domain_status::open}, {"c", domain_status::closed}}, false,
       {9});
-  CHECK(read == Closings(9, {"a", "c"}));
+  CHECK(read == MakeClosedDomains(9, {"a", "c"}));
 }
 
 // Guards against an unreadable row that closes a domain, or opens one.
 TEST_CASE("closings_read_unreadable_changes_nothing") {
-  const domain_closings before = Closings(1, {"a"});
+  const closed_domains before = MakeClosedDomains(1, {"a"});
   for (bool whole : {false, true}) {
-    const domain_closings read = ReadClosings(
+    const closed_domains read = ClosedDomainsFromRows(
         before,
-        {{"a", closing_word::unreadable}, {"b", closing_word::unreadable}},
+        {{"a", domain_status::unreadable}, {"b", domain_status::unreadable}},
         whole, {9});
     CHECK(read.domains == before.domains);
   }
@@ -100,30 +101,31 @@
 
 // ---- [3] The gate -----------------------------------------------------------
 
-struct closed_keeper : keeper_of_one_owner {
+struct closed_lease_manager : manager_of_one_owner {
   static run_ref Ref(const std::string& job) { return {{job, 0, 0, 0}, 1}; }
 
   void Order(const std::string& job, int64_t cpu, uint32_t expected_ms) {
     lease_orders orders;
     orders.echo = now.value;
     orders.starts.push_back({Ref(job), {cpu, 10, 0}, expected_ms, ""});
-    TakeOrders(k, now, kOwner, orders);
+    HandleLeaseOrders(k, now, kOwner, orders);
   }
 
   size_t StartsCalled() const { return Calls<call_run_start>().size(); }
 
   // What the owner was told of the job's run; stopped: nothing yet.
   run_end_kind EndOf(const std::string& job) {
-    for (const told_end& told : k.owners[kOwner].ends) {
+    for (const reported_end& told : k.owners[kOwner].ends) {
       if (told.end.ref == Ref(job))
-        return told.end.how;
+        return told.end.kind;
     }
     return run_end_kind::stopped;
   }
 };
 
 // Guards against a start that was on its way when the domain was closed.
-TEST_CASE_METHOD(closed_keeper, "start_arrives_after_closing_never_started") {
+TEST_CASE_METHOD(closed_lease_manager,
+                 "start_arrives_after_closing_never_started") {
   SetClosed(k, true);
   Order("late", 1000, 100);
   CHECK(StartsCalled() == 0);
@@ -131,48 +133,50 @@
 }
 
 // Guards against a start that waits for room through the closing.
-TEST_CASE_METHOD(closed_keeper, "start_that_waits_at_closing_handed_back") {
+TEST_CASE_METHOD(closed_lease_manager,
+                 "start_that_waits_at_closing_handed_back") {
   Order("runs", 16'000, 10);
   Order("waits", 1000, 10);
-  REQUIRE(k.waiting.size() == 1);
+  REQUIRE(k.waiting_starts.size() == 1);
   SetClosed(k, true);
-  TickKeeper(k, now);
+  TickLeaseManager(k, now);
   CHECK(EndOf("waits") == run_end_kind::never_started);
   CHECK(StartsCalled() == 1);
 }
 
 // Guards against a closing that ends what runs.
-TEST_CASE_METHOD(closed_keeper, "run_at_closing_goes_on") {
+TEST_CASE_METHOD(closed_lease_manager, "run_at_closing_goes_on") {
   Order("runs", 1000, 100);
-  TakeKeeperEvent(k, now,
-                  run_start_answered{Ref("runs"), {"life"}, worker_answer::ok});
+  HandleLeaseManagerEvent(
+      k, now, run_start_answered{Ref("runs"), {"life"}, worker_answer::ok});
   SetClosed(k, true);
-  TickKeeper(k, now);
+  TickLeaseManager(k, now);
   CHECK(k.runs.size() == 1);
   CHECK(Calls<call_run_stop>().empty());
-  CHECK_FALSE(TakesLeasedWork(k, now));
+  CHECK_FALSE(AcceptsLeasedWork(k, now));
   SetClosed(k, false);
-  CHECK(TakesLeasedWork(k, now));
+  CHECK(AcceptsLeasedWork(k, now));
 }
 
 // Guards against a worker that starts again in a closed domain and gets work.
-TEST_CASE_METHOD(closed_keeper, "worker_starts_again_while_closed_no_work") {
+TEST_CASE_METHOD(closed_lease_manager,
+                 "worker_starts_again_while_closed_no_work") {
   SetClosed(k, true);
-  TakeKeeperEvent(k, now, Announcement("other"));
-  look_answered over;
-  over.number = k.looks_open;
-  over.life = {"life"};
-  over.answer = worker_answer::other_life;
-  TakeKeeperEvent(k, now, over);
-  TickKeeper(k, now);
-  REQUIRE(k.worker.life.id == "other");
-  look_answered look;
-  look.number = k.looks_open;
-  look.life = {"other"};
+  HandleLeaseManagerEvent(k, now, Announcement("other"));
+  poll_answered over;
+  over.number = k.open_poll;
+  over.session = {"life"};
+  over.answer = worker_answer::other_session;
+  HandleLeaseManagerEvent(k, now, over);
+  TickLeaseManager(k, now);
+  REQUIRE(k.worker.session.id == "other");
+  poll_answered look;
+  look.number = k.open_poll;
+  look.session = {"other"};
   look.answer = worker_answer::ok;
   look.clock_ms = 1;
-  TakeKeeperEvent(k, now, look);
-  TickKeeper(k, now);
+  HandleLeaseManagerEvent(k, now, look);
+  TickLeaseManager(k, now);
   Order("new", 1000, 100);
   CHECK(StartsCalled() == 0);
 }
@@ -307,14 +311,14 @@
   sidecar_frame frame;
   frame.epoch = row.epoch;
   frame.reports.emplace();
-  frame.reports->takes_work = true;
+  frame.reports->accepts_work = true;
   frame.reports->free = w.options.capacity;
   Tick(entry, w.now,
-       {closings_read{Closings(5, {"0"})},
+       {closed_domains_read{MakeClosedDomains(5, {"0"})},
         sidecar_frame_received{row.link, frame}});
   CHECK_FALSE(entry.leased.workers[worker.value].takes_work);
   Tick(entry, w.now,
-       {closings_read{Closings(6, {})},
+       {closed_domains_read{MakeClosedDomains(6, {})},
         sidecar_frame_received{row.link, frame}});
   CHECK(entry.leased.workers[worker.value].takes_work);
 }
@@ -350,10 +354,10 @@
   w.CutFromStore(0, Millis(4000));
   w.CloseDomain(0);
   w.Pass(Millis(500));
-  REQUIRE(IsClosed(w.entries[0].core->closings, "0"));
+  REQUIRE(IsClosed(w.entries[0].core->closed_domains, "0"));
   w.OpenDomain(0);
   w.Pass(Millis(500));
-  REQUIRE_FALSE(IsClosed(w.entries[0].core->closings, "0"));
+  REQUIRE_FALSE(IsClosed(w.entries[0].core->closed_domains, "0"));
   RequireNothingBroken();
 }
 
@@ -385,7 +389,7 @@
   Load(2000);
   CHECK(StartsIn(0) == before);
   for (const emulated_entry& e : w.entries)
-    CHECK(IsClosed(e.core->closings, "0"));
+    CHECK(IsClosed(e.core->closed_domains, "0"));
   RequireNothingBroken();
 }
 
@@ -423,90 +427,91 @@
 namespace cassiaferry::testing {
 namespace {
 
-struct closed_pair : core_world {
-  closed_pair() : core_world(2) {
+struct closed_domain_pair : core_simulation {
+  closed_domain_pair() : core_simulation(2) {
     for (int i = 0; i < 2; ++i) {
       sidecars[static_cast<size_t>(i)].options.failure_domain =
           std::to_string(i);
       Announce(i, 4);
     }
-    Pass(500);
+    Advance(500);
   }
 
-  void Tell(uint64_t version, std::set<std::string> domains) {
-    inbox.emplace_back(closings_read{{{version}, std::move(domains)}});
+  void ReceiveClosedDomains(uint64_t version, std::set<std::string> domains) {
+    inbox.emplace_back(closed_domains_read{{{version}, std::move(domains)}});
   }
 };
 
 // Guards against tasks of the product's own jobs in a closed domain.
-TEST_CASE_METHOD(closed_pair, "tasks_domain_closed_start_elsewhere") {
+TEST_CASE_METHOD(closed_domain_pair, "tasks_domain_closed_start_elsewhere") {
   for (auto& s : sidecars)
     CHECK(s.options.failure_domain.size() == 1);
-  Cut(0);
-  Cut(1);
-  Pass(1000);
-  Tell(5, {"0"});
-  Pass(200);
+  CutStream(0);
+  CutStream(1);
+  Advance(1000);
+  ReceiveClosedDomains(5, {"0"});
+  Advance(200);
   Submit(1, MakeRequest(4));
   Submit(2, MakeRequest(4));
-  Pass(200);
+  Advance(200);
   CHECK(running[0].empty());
   CHECK(running[1].size() == 4);
   FinishAll(1);
-  Pass(200);
+  Advance(200);
   CHECK(running[0].empty());
   FinishAll(1);
-  Pass(200);
+  Advance(200);
   CHECK(Complete(1) != nullptr);
   CHECK(Complete(2) != nullptr);
 }
 
 // Guards against an entry with older news than the sidecar: the start is handed
 // back, and the task runs elsewhere.
-TEST_CASE_METHOD(closed_pair, "tasks_sent_with_older_news_start_elsewhere") {
-  TakeToldClosings(sidecars[0].closings, {{5}, {"0"}});
+TEST_CASE_METHOD(closed_domain_pair,
+                 "tasks_sent_with_older_news_start_elsewhere") {
+  UpdateClosedDomainsFromPeer(sidecars[0].closed_domains, {{5}, {"0"}});
   Submit(1, MakeRequest(4));
-  Pass(200);
+  Advance(200);
   CHECK(running[0].empty());
   FinishAll(1);
-  Pass(200);
+  Advance(200);
   FinishAll(1);
-  Pass(200);
+  Advance(200);
   CHECK(Complete(1) != nullptr);
 }
 
 // Guards against tasks queued at a sidecar that stay there when its domain is
 // closed, or start there.
-TEST_CASE_METHOD(closed_pair, "tasks_queued_at_closing_handed_back") {
+TEST_CASE_METHOD(closed_domain_pair, "tasks_queued_at_closing_handed_back") {
   Submit(1, MakeRequest(8));
-  Pass(100);
+  Advance(100);
   REQUIRE(running[0].size() == 4);
   entry_frame frame;
   frame.epoch = sidecars[0].links[0].epoch;
   frame.starts.push_back({{job_seq{99}, 0}, "x", order_key{0}, 5000, true});
   Tick(sidecars[0], now, {link_frame_received{entry_id{0}, frame}});
   REQUIRE(sidecars[0].queue.size() == 1);
-  TakeToldClosings(sidecars[0].closings, {{5}, {"0"}});
-  Pass(50);
+  UpdateClosedDomainsFromPeer(sidecars[0].closed_domains, {{5}, {"0"}});
+  Advance(50);
   CHECK(sidecars[0].queue.empty());
   FinishAll(0);
-  Pass(200);
+  Advance(200);
   CHECK(running[0].empty());
 }
 
 // Guards against callers who wait for a domain to be opened again.
-TEST_CASE_METHOD(closed_pair, "tasks_all_closed_refused_at_once") {
-  Cut(0);
-  Cut(1);
-  Pass(1000);
-  Tell(5, {"0", "1"});
-  Pass(200);
+TEST_CASE_METHOD(closed_domain_pair, "tasks_all_closed_refused_at_once") {
+  CutStream(0);
+  CutStream(1);
+  Advance(1000);
+  ReceiveClosedDomains(5, {"0", "1"});
+  Advance(200);
   Submit(1, MakeRequest(1));
-  Pass(50);
+  Advance(50);
   REQUIRE(Failed(1) != nullptr);
-  CHECK(Failed(1)->why.why == reason::no_worker);
-  CHECK(Failed(1)->why.what == verdict::not_run);
-  CHECK(Failed(1)->why.retry_after_ms > 0);
+  CHECK(Failed(1)->error.cause == reason::no_worker);
+  CHECK(Failed(1)->error.run_verdict == verdict::not_run);
+  CHECK(Failed(1)->error.retry_after_ms > 0);
 }
 
 }  // namespace
--- a/tests/core_harness.cc
+++ b/tests/core_harness.cc
@@ -41,7 +41,7 @@
   return r;
 }
 
-core_world::core_world(int count, const std::string& policy)
+core_simulation::core_simulation(int count, const std::string& policy)
     : running(static_cast<size_t>(count)),
       silent(static_cast<size_t>(count)),
       frozen(static_cast<size_t>(count)),
@@ -55,28 +55,28 @@
   entry = MakeEntry(options);
   inbox.emplace_back(config_received{MakeConfig(1, policy)});
   for (int i = 0; i < count; ++i)
-    sidecars.push_back(MakeSidecar(SidecarOptions(i, next_life_++)));
+    sidecars.push_back(MakeSidecar(SidecarOptions(i, next_incarnation_++)));
   for (int i = 0; i < count; ++i)
     Announce(i, 2);
-  Pass(50);
+  Advance(50);
 }
 
-void core_world::Announce(int sidecar, uint32_t slots, uint32_t cores) {
+void core_simulation::Announce(int sidecar, uint32_t slots, uint32_t cores) {
   announced_[static_cast<size_t>(sidecar)] =
       upstream_info{"slots", "127.0.0.1:1", slots, 60, cores, kMemoryMb};
 }
 
-void core_world::Submit(uint64_t ticket, job_request request) {
+void core_simulation::Submit(uint64_t ticket, job_request request) {
   inbox.emplace_back(job_submitted{ticket_id{ticket}, std::move(request)});
 }
 
-void core_world::Leave(int sidecar) {
+void core_simulation::WithdrawUpstream(int sidecar) {
   const auto i = static_cast<size_t>(sidecar);
   announced_[i] = {};
   to_sidecars_[i].emplace_back(upstream_left{});
 }
 
-void core_world::FinishOne(int sidecar, bool ok) {
+void core_simulation::FinishOne(int sidecar, bool ok) {
   const auto i = static_cast<size_t>(sidecar);
   if (running[i].empty())
     return;
@@ -87,12 +87,12 @@
                     "output " + std::to_string(run.task.index)});
 }
 
-void core_world::FinishAll(int sidecar) {
+void core_simulation::FinishAll(int sidecar) {
   while (!running[static_cast<size_t>(sidecar)].empty())
     FinishOne(sidecar);
 }
 
-void core_world::Cut(int sidecar) {
+void core_simulation::CutStream(int sidecar) {
   const auto i = static_cast<size_t>(sidecar);
   if (!streams_[i].open)
     return;
@@ -101,16 +101,17 @@
   to_sidecars_[i].emplace_back(link_lost{entry_id{0}, streams_[i].epoch});
 }
 
-void core_world::CrashSidecar(int sidecar) {
-  Cut(sidecar);
+void core_simulation::CrashSidecar(int sidecar) {
+  CutStream(sidecar);
   const auto i = static_cast<size_t>(sidecar);
   to_sidecars_[i].clear();
   running[i].clear();
-  sidecars[i] = MakeSidecar(SidecarOptions(sidecar, next_life_++));
+  sidecars[i] = MakeSidecar(SidecarOptions(sidecar, next_incarnation_++));
   Announce(sidecar, 2);
 }
 
-void core_world::TickSidecar(int sidecar, std::vector<sidecar_event> events) {
+void core_simulation::TickSidecar(int sidecar,
+                                  std::vector<sidecar_event> events) {
   const auto i = static_cast<size_t>(sidecar);
   for (sidecar_action& action : Tick(sidecars[i], now, std::move(events))) {
     if (auto* dial = std::get_if<dial_entry>(&action)) {
@@ -136,7 +137,7 @@
   }
 }
 
-void core_world::TickEntry() {
+void core_simulation::TickEntry() {
   std::vector<entry_event> events;
   events.swap(inbox);
   for (entry_action& action : Tick(entry, now, std::move(events))) {
@@ -156,7 +157,7 @@
   }
 }
 
-void core_world::Step() {
+void core_simulation::Step() {
   for (size_t i = 0; i < sidecars.size(); ++i) {
     if (frozen[i])
       continue;
@@ -169,19 +170,19 @@
   TickEntry();
 }
 
-void core_world::Pass(int64_t ms) {
+void core_simulation::Advance(int64_t ms) {
   for (int64_t passed = 0; passed < ms; passed += kStepMs) {
     now = now + Millis(kStepMs);
     Step();
   }
 }
 
-const answer_complete* core_world::Complete(uint64_t ticket) const {
+const answer_complete* core_simulation::Complete(uint64_t ticket) const {
   const auto it = complete_.find(ticket);
   return it == complete_.end() ? nullptr : &it->second;
 }
 
-const answer_failed* core_world::Failed(uint64_t ticket) const {
+const answer_failed* core_simulation::Failed(uint64_t ticket) const {
   const auto it = failed_.find(ticket);
   return it == failed_.end() ? nullptr : &it->second;
 }
--- a/tests/core_harness.h
+++ b/tests/core_harness.h
@@ -15,7 +15,7 @@
 
 // Actions of one kind, in order.
 template <typename Kind, typename Action>
-std::vector<Kind> Only(const std::vector<Action>& actions) {
+std::vector<Kind> ActionsOfKind(const std::vector<Action>& actions) {
   std::vector<Kind> found;
   for (const Action& action : actions) {
     if (const Kind* match = std::get_if<Kind>(&action))
@@ -29,19 +29,20 @@
 
 // One entry and some sidecars, joined by streams that this harness carries, so
 // that a test can lose, hold back or reorder what travels.
-class core_world {
+class core_simulation {
  public:
-  explicit core_world(int sidecars, const std::string& policy = "slot_offer");
+  explicit core_simulation(int sidecars,
+                           const std::string& policy = "slot_offer");
 
   // Lets `ms` pass in small steps; frames arrive within the step they are sent.
-  void Pass(int64_t ms);
+  void Advance(int64_t ms);
   void Submit(uint64_t ticket, job_request request);
   void Announce(int sidecar, uint32_t slots, uint32_t cores = 16);
-  void Leave(int sidecar);
+  void WithdrawUpstream(int sidecar);
   void FinishOne(int sidecar,
                  bool ok = true);  // the task that has run longest there
   void FinishAll(int sidecar);
-  void Cut(int sidecar);           // both ends see the stream close
+  void CutStream(int sidecar);     // both ends see the stream close
   void CrashSidecar(int sidecar);  // a new incarnation takes its place
 
   const answer_complete* Complete(uint64_t ticket) const;
@@ -75,7 +76,7 @@
   std::map<uint64_t, answer_complete> complete_;
   std::map<uint64_t, answer_failed> failed_;
   uint64_t next_link_ = 1;
-  uint64_t next_life_ = 100;
+  uint64_t next_incarnation_ = 100;
 };
 
 }  // namespace cassiaferry::testing
--- a/tests/dispatch_unit_test.cc
+++ b/tests/dispatch_unit_test.cc
@@ -20,12 +20,12 @@
 
 namespace {
 
-bool NoDuplicates(const core_world& world) {
+bool NoDuplicates(const core_simulation& world) {
   return std::all_of(world.starts.begin(), world.starts.end(),
                      [](const auto& row) { return row.second == 1; });
 }
 
-size_t Running(const core_world& world) {
+size_t Running(const core_simulation& world) {
   size_t running = 0;
   for (const auto& tasks : world.running)
     running += tasks.size();
@@ -33,11 +33,11 @@
 }
 
 struct two_workers {
-  core_world world{2};
+  core_simulation world{2};
 };
 
 struct one_worker {
-  core_world world{1};
+  core_simulation world{1};
 };
 
 }  // namespace
@@ -46,11 +46,11 @@
 
 TEST_CASE_METHOD(two_workers, "Job_WhenAllTasksFinish_IsCompleteInOrder") {
   world.Submit(1, MakeRequest(4));
-  world.Pass(20);
+  world.Advance(20);
   CHECK(Running(world) == 4);
   world.FinishAll(1);
   world.FinishAll(0);
-  world.Pass(20);
+  world.Advance(20);
   REQUIRE(world.Complete(1) != nullptr);
   const std::vector<std::string> expected = {"output 0", "output 1", "output 2",
                                              "output 3"};
@@ -60,35 +60,35 @@
 TEST_CASE_METHOD(two_workers, "Slots_WhenMoreTasksWait_AreNeverExceeded") {
   world.Submit(1, MakeRequest(30));
   for (int i = 0; i < 40; ++i) {
-    world.Pass(10);
+    world.Advance(10);
     CHECK(world.running[0].size() <= 2);
     CHECK(world.running[1].size() <= 2);
     world.FinishOne(i % 2);
   }
-  world.Pass(20);
+  world.Advance(20);
   CHECK(world.Complete(1) != nullptr);
   CHECK(NoDuplicates(world));
 }
 
 TEST_CASE_METHOD(two_workers, "Job_WhenOneTaskFails_StopsTheOthers") {
   world.Submit(1, MakeRequest(4));
-  world.Pass(20);
+  world.Advance(20);
   world.FinishOne(0, false);
-  world.Pass(20);
+  world.Advance(20);
   REQUIRE(world.Failed(1) != nullptr);
-  CHECK(world.Failed(1)->why.why == reason::task_failed);
-  CHECK(world.Failed(1)->why.what == verdict::may_have_run);
+  CHECK(world.Failed(1)->error.cause == reason::task_failed);
+  CHECK(world.Failed(1)->error.run_verdict == verdict::may_have_run);
   CHECK(Running(world) == 0);
 }
 
 TEST_CASE_METHOD(one_worker, "Cancel_WhenManyTasksRun_CostsOneRecordAWorker") {
   world.Announce(0, 16);
-  world.Pass(20);
+  world.Advance(20);
   world.Submit(1, MakeRequest(12));
-  world.Pass(20);
+  world.Advance(20);
   REQUIRE(Running(world) == 12);
   world.inbox.emplace_back(caller_gone{ticket_id{1}});
-  world.Pass(20);
+  world.Advance(20);
   CHECK(Running(world) == 0);
   CHECK(world.entry.metrics.records[static_cast<size_t>(record_kind::cancel)] ==
         1);
@@ -101,11 +101,11 @@
 // must get the answer, and the task must not start again.
 TEST_CASE_METHOD(one_worker, "Result_WhenStreamBreaksMeanwhile_IsDelivered") {
   world.Submit(1, MakeRequest(1));
-  world.Pass(20);
+  world.Advance(20);
   REQUIRE(Running(world) == 1);
-  world.Cut(0);
+  world.CutStream(0);
   world.FinishOne(0);
-  world.Pass(2000);
+  world.Advance(2000);
   CHECK(world.Complete(1) != nullptr);
   CHECK(NoDuplicates(world));
 }
@@ -116,14 +116,14 @@
 TEST_CASE_METHOD(one_worker, "Start_WhenStreamGoesSilent_RunsOnceOnAFreshOne") {
   world.silent[0] = true;
   world.Submit(1, MakeRequest(1));
-  world.Pass(1000);
+  world.Advance(1000);
   CHECK(Running(world) == 0);
-  world.Pass(1500);
+  world.Advance(1500);
   world.silent[0] = false;
-  world.Pass(4000);
+  world.Advance(4000);
   CHECK(Running(world) == 1);
   world.FinishAll(0);
-  world.Pass(50);
+  world.Advance(50);
   CHECK(world.Complete(1) != nullptr);
   CHECK(NoDuplicates(world));
 }
@@ -131,12 +131,12 @@
 // The same silence, but the start had arrived and only its result is lost.
 TEST_CASE_METHOD(one_worker, "Result_WhenStreamGoesSilent_IsSentAgain") {
   world.Submit(1, MakeRequest(1));
-  world.Pass(20);
+  world.Advance(20);
   world.silent[0] = true;
   world.FinishAll(0);
-  world.Pass(2500);
+  world.Advance(2500);
   world.silent[0] = false;
-  world.Pass(4000);
+  world.Advance(4000);
   CHECK(world.Complete(1) != nullptr);
   CHECK(NoDuplicates(world));
 }
@@ -146,15 +146,15 @@
 // it must be dropped, or the task, by then sent again, would run twice.
 TEST_CASE_METHOD(one_worker, "Start_WhenItArrivesOnAnOlderStream_IsDropped") {
   const link_epoch old_epoch = world.sidecars[0].links[0].epoch;
-  world.Cut(0);
-  world.Pass(500);
+  world.CutStream(0);
+  world.Advance(500);
   REQUIRE(world.sidecars[0].links[0].epoch > old_epoch);
   entry_frame late;
   late.epoch = old_epoch;
   late.starts.push_back({{job_seq{77}, 0}, "late", order_key{0}, 60'000, true});
   const std::vector<sidecar_action> actions = Tick(
       world.sidecars[0], world.now, {link_frame_received{entry_id{0}, late}});
-  CHECK(Only<run_task>(actions).empty());
+  CHECK(ActionsOfKind<run_task>(actions).empty());
   CHECK(world.sidecars[0].running.empty());
 }
 
@@ -163,16 +163,16 @@
 TEST_CASE_METHOD(one_worker, "Reject_WhenItArrivesOnAnOlderStream_IsDropped") {
   const link_id old_link = world.entry.workers[0].link;
   const link_epoch old_epoch = world.entry.workers[0].epoch;
-  world.Cut(0);
-  world.Pass(500);
+  world.CutStream(0);
+  world.Advance(500);
   world.Submit(1, MakeRequest(1));
-  world.Pass(20);
+  world.Advance(20);
   REQUIRE(Running(world) == 1);
   sidecar_frame late;
   late.epoch = old_epoch;
   late.rejects.push_back({{job_seq{1}, 0}, false});
   world.inbox.emplace_back(sidecar_frame_received{old_link, late});
-  world.Pass(50);
+  world.Advance(50);
   CHECK(world.entry.jobs.at(job_seq{1}).sent == 1);
   CHECK(NoDuplicates(world));
 }
@@ -184,12 +184,12 @@
 // must not be started elsewhere.
 TEST_CASE_METHOD(two_workers, "Job_WhenItsSidecarRestarts_MayHaveRun") {
   world.Submit(1, MakeRequest(4));
-  world.Pass(20);
+  world.Advance(20);
   world.CrashSidecar(0);
-  world.Pass(1000);
+  world.Advance(1000);
   REQUIRE(world.Failed(1) != nullptr);
-  CHECK(world.Failed(1)->why.what == verdict::may_have_run);
-  CHECK(world.Failed(1)->why.why == reason::worker_lost);
+  CHECK(world.Failed(1)->error.run_verdict == verdict::may_have_run);
+  CHECK(world.Failed(1)->error.cause == reason::worker_lost);
   CHECK(NoDuplicates(world));
 }
 
@@ -197,14 +197,14 @@
 TEST_CASE_METHOD(one_worker, "Job_WhenItsResultWasForgotten_MayHaveRun") {
   world.sidecars[0].options.max_results_bytes = 4;
   world.Submit(1, MakeRequest(1));
-  world.Pass(20);
+  world.Advance(20);
   world.silent[0] = true;
   world.FinishAll(0);
-  world.Pass(2500);
+  world.Advance(2500);
   world.silent[0] = false;
-  world.Pass(4000);
+  world.Advance(4000);
   REQUIRE(world.Failed(1) != nullptr);
-  CHECK(world.Failed(1)->why.what == verdict::may_have_run);
+  CHECK(world.Failed(1)->error.run_verdict == verdict::may_have_run);
   CHECK(NoDuplicates(world));
 }
 
@@ -212,29 +212,29 @@
 // its deadline of a minute.
 TEST_CASE_METHOD(one_worker, "Job_WhenItsSidecarIsGone_FailsAfterTheGrace") {
   world.Submit(1, MakeRequest(1));
-  world.Pass(20);
+  world.Advance(20);
   world.silent[0] = true;
-  world.Cut(0);
-  world.Pass(8000);
+  world.CutStream(0);
+  world.Advance(8000);
   REQUIRE(world.Failed(1) != nullptr);
-  CHECK(world.Failed(1)->why.why == reason::worker_lost);
+  CHECK(world.Failed(1)->error.cause == reason::worker_lost);
 }
 
 // An upstream that leaves gets nothing new, and what it runs is finished.
 TEST_CASE_METHOD(one_worker,
                  "Upstream_WhenItLeaves_FinishesAndGetsNothingNew") {
   world.Submit(1, MakeRequest(1));
-  world.Pass(20);
-  world.Leave(0);
-  world.Pass(600);
+  world.Advance(20);
+  world.WithdrawUpstream(0);
+  world.Advance(600);
   world.Submit(2, MakeRequest(1));
-  world.Pass(20);
+  world.Advance(20);
   REQUIRE(world.Failed(2) != nullptr);
-  CHECK(world.Failed(2)->why.why == reason::no_worker);
-  CHECK(world.Failed(2)->why.what == verdict::not_run);
-  CHECK(world.Failed(2)->why.retry_after_ms > 0);
+  CHECK(world.Failed(2)->error.cause == reason::no_worker);
+  CHECK(world.Failed(2)->error.run_verdict == verdict::not_run);
+  CHECK(world.Failed(2)->error.retry_after_ms > 0);
   world.FinishAll(0);
-  world.Pass(50);
+  world.Advance(50);
   CHECK(world.Complete(1) != nullptr);
 }
 
@@ -242,23 +242,23 @@
 
 TEST_CASE_METHOD(one_worker, "Job_WhenDeadlinePassesInTheQueue_IsNotRun") {
   world.Submit(1, MakeRequest(2));
-  world.Pass(20);
+  world.Advance(20);
   job_request late = MakeRequest(1);
   late.deadline_ms = 100;
   world.Submit(2, late);
-  world.Pass(200);
+  world.Advance(200);
   REQUIRE(world.Failed(2) != nullptr);
-  CHECK(world.Failed(2)->why.why == reason::deadline);
-  CHECK(world.Failed(2)->why.what == verdict::not_run);
+  CHECK(world.Failed(2)->error.cause == reason::deadline);
+  CHECK(world.Failed(2)->error.run_verdict == verdict::not_run);
 }
 
 TEST_CASE_METHOD(one_worker, "Job_WhenDeadlinePassesWhileRunning_MayHaveRun") {
   job_request r = MakeRequest(1);
   r.deadline_ms = 100;
   world.Submit(1, r);
-  world.Pass(300);
+  world.Advance(300);
   REQUIRE(world.Failed(1) != nullptr);
-  CHECK(world.Failed(1)->why.what == verdict::may_have_run);
+  CHECK(world.Failed(1)->error.run_verdict == verdict::may_have_run);
   CHECK(Running(world) == 0);
 }
 
@@ -266,26 +266,26 @@
   job_request r = MakeRequest(1);
   r.tasks[0].cores = 1000;
   world.Submit(1, r);
-  world.Pass(5);
+  world.Advance(5);
   REQUIRE(world.Failed(1) != nullptr);
-  CHECK(world.Failed(1)->why.why == reason::never_runnable);
-  CHECK(world.Failed(1)->why.what == verdict::not_run);
+  CHECK(world.Failed(1)->error.cause == reason::never_runnable);
+  CHECK(world.Failed(1)->error.run_verdict == verdict::not_run);
 }
 
 TEST_CASE_METHOD(one_worker, "Job_WhenTheQueueIsTooLong_IsToldWhenToComeBack") {
   world.Submit(1, MakeRequest(400));
   for (int i = 0; i < 100; ++i) {
-    world.Pass(20);
+    world.Advance(20);
     world.FinishAll(0);
   }
   job_request r = MakeRequest(100);
   r.deadline_ms = 200;
   world.Submit(2, r);
-  world.Pass(5);
+  world.Advance(5);
   REQUIRE(world.Failed(2) != nullptr);
-  CHECK(world.Failed(2)->why.why == reason::deadline_unreachable);
-  CHECK(world.Failed(2)->why.what == verdict::not_run);
-  CHECK(world.Failed(2)->why.retry_after_ms >= 100);
+  CHECK(world.Failed(2)->error.cause == reason::deadline_unreachable);
+  CHECK(world.Failed(2)->error.run_verdict == verdict::not_run);
+  CHECK(world.Failed(2)->error.retry_after_ms >= 100);
 }
 
 // ---- [5] Policies -----------------------------------------------------------
@@ -294,11 +294,11 @@
   const std::string kind = GENERATE("random", "round_robin", "two_choices",
                                     "batch_sampling", "slot_offer");
   CAPTURE(kind);
-  core_world world(3, kind);
+  core_simulation world(3, kind);
   for (uint64_t ticket = 1; ticket <= 10; ++ticket)
     world.Submit(ticket, MakeRequest(ticket));
   for (int i = 0; i < 120; ++i) {
-    world.Pass(10);
+    world.Advance(10);
     world.FinishOne(i % 3);
   }
   for (uint64_t ticket = 1; ticket <= 10; ++ticket)
@@ -308,15 +308,15 @@
 }
 
 TEST_CASE("Probes_WhenTheirStreamBreaks_AreSentAgain") {
-  core_world world(1, "batch_sampling");
+  core_simulation world(1, "batch_sampling");
   world.Submit(1, MakeRequest(4));
-  world.Pass(20);
+  world.Advance(20);
   CHECK(Running(world) == 2);
-  world.Cut(0);
-  world.Pass(500);
+  world.CutStream(0);
+  world.Advance(500);
   for (int i = 0; i < 10; ++i) {
     world.FinishAll(0);
-    world.Pass(50);
+    world.Advance(50);
   }
   CHECK(world.Complete(1) != nullptr);
   CHECK(NoDuplicates(world));
@@ -324,11 +324,11 @@
 
 TEST_CASE_METHOD(one_worker, "SmallJob_WhenALargeOneWaits_GoesFirst") {
   world.Submit(1, MakeRequest(40));
-  world.Pass(20);
+  world.Advance(20);
   world.Submit(2, MakeRequest(1));
-  world.Pass(20);
+  world.Advance(20);
   world.FinishOne(0);
-  world.Pass(20);
+  world.Advance(20);
   const bool runs =
       std::any_of(world.running[0].begin(), world.running[0].end(),
                   [](const run_task& r) { return r.task.job == job_seq{2}; });
@@ -346,15 +346,15 @@
 // One worker fails whatever it is given, at once, and so has free slots all the
 // time: left alone it would draw most jobs to their failure.
 TEST_CASE("Worker_WhenItFailsEverything_IsEjected") {
-  core_world world(3);
+  core_simulation world(3);
   uint64_t ticket = 1;
   for (int i = 0; i < 60; ++i) {
     world.Submit(ticket++, MakeRequest(1));
-    world.Pass(10);
+    world.Advance(10);
     world.FinishOne(0, false);
     world.FinishOne(1);
     world.FinishOne(2);
-    world.Pass(10);
+    world.Advance(10);
   }
   CHECK(world.entry.workers[0].health.ejections > 0);
   CHECK(world.entry.workers[1].health.ejections == 0);
@@ -363,13 +363,13 @@
 
 // A team sends jobs that fail wherever they run. No worker is at fault.
 TEST_CASE("Workers_WhenEveryJobIsBad_AreNotEjected") {
-  core_world world(3);
+  core_simulation world(3);
   for (uint64_t ticket = 1; ticket <= 60; ++ticket) {
     world.Submit(ticket, MakeRequest(1));
-    world.Pass(10);
+    world.Advance(10);
     for (int w = 0; w < 3; ++w)
       world.FinishOne(w, false);
-    world.Pass(10);
+    world.Advance(10);
   }
   size_t ejected = 0;
   for (const worker_row& w : world.entry.workers)
@@ -383,11 +383,11 @@
 // thousands of times a second. Seen as 4,385 declines in a run of 7,209 tasks.
 TEST_CASE_METHOD(two_workers, "Offers_WhenAWorkerIsHeldBack_AreNotInvited") {
   world.Submit(1, MakeRequest(40));
-  world.Pass(50);
+  world.Advance(50);
   REQUIRE(Running(world) == 4);
   world.entry.workers[0].health.ejected_until = world.now + Millis(60'000);
   world.FinishAll(0);
-  world.Pass(1000);
+  world.Advance(1000);
   const auto declines =
       world.entry.metrics.records[static_cast<size_t>(record_kind::decline)];
   CHECK(declines <= 4);
@@ -398,18 +398,18 @@
 // small worker's sidecar go on offering slots for a job that it can't hold.
 TEST_CASE_METHOD(two_workers, "Job_WhenAnotherFitsNoFreeWorker_PassesIt") {
   world.Announce(0, 2, 1);
-  world.Pass(50);
+  world.Advance(50);
   job_request large = MakeRequest(10);
   for (task_request& task : large.tasks)
     task.cores = 8;
   world.Submit(1, large);
-  world.Pass(50);
+  world.Advance(50);
   REQUIRE(world.running[1].size() == 2);
   world.Submit(2, MakeRequest(12));
-  world.Pass(50);
+  world.Advance(50);
   CHECK(world.running[0].size() == 2);
   world.FinishAll(0);
-  world.Pass(1000);
+  world.Advance(1000);
   CHECK(world.running[0].size() == 2);
   const auto declines =
       world.entry.metrics.records[static_cast<size_t>(record_kind::decline)];
@@ -420,12 +420,12 @@
 // for the sidecar can't dial anew, and place nothing there any more.
 TEST_CASE_METHOD(two_workers, "Entry_WhenASidecarFreezes_PlacesNothingThere") {
   world.frozen[0] = true;
-  world.Pass(2600);
+  world.Advance(2600);
   CHECK(world.entry.workers[0].state == worker_link::down);
   world.Submit(1, MakeRequest(2));
-  world.Pass(20);
+  world.Advance(20);
   world.FinishAll(1);
-  world.Pass(20);
+  world.Advance(20);
   CHECK(world.Complete(1) != nullptr);
 }
 
@@ -433,14 +433,14 @@
 // free it must not start them: the entry may have given them up as "never
 // started".
 TEST_CASE("Queue_WhenItsStreamBreaks_StartsNothing") {
-  core_world world(1, "two_choices");
+  core_simulation world(1, "two_choices");
   world.Submit(1, MakeRequest(4));
-  world.Pass(20);
+  world.Advance(20);
   REQUIRE(world.sidecars[0].queue.size() == 2);
   world.silent[0] = true;
-  world.Cut(0);
+  world.CutStream(0);
   world.FinishAll(0);
-  world.Pass(500);
+  world.Advance(500);
   CHECK(Running(world) == 0);
   CHECK(world.sidecars[0].queue.empty());
 }
@@ -448,9 +448,9 @@
 // A sidecar with several free slots hears that one task waits. It must offer
 // one slot, not all of them: each more costs an offer and a decline.
 TEST_CASE("Offers_WhenOneTaskWaits_AreOne") {
-  core_world world(1);
+  core_simulation world(1);
   world.Announce(0, 8);
-  world.Pass(50);
+  world.Advance(50);
   entry_frame told;
   told.epoch = world.sidecars[0].links[0].epoch;
   told.backlog = order_key{0};
@@ -464,19 +464,19 @@
 // is still to be written. It must wait for a while, and then stop all the same.
 TEST_CASE_METHOD(one_worker, "Entry_WhenStoppedInAnOutage_StopsAfterTheGrace") {
   world.Submit(1, MakeRequest(1, "payment"));
-  world.Pass(20);
-  const auto claims = Only<table_transaction>(world.claims);
+  world.Advance(20);
+  const auto claims = ActionsOfKind<table_transaction>(world.claims);
   REQUIRE(claims.size() == 1);
   const table_row row{claims[0].ops[0].key, 1, claims[0].ops[0].value};
   world.inbox.emplace_back(
       transaction_reply{claims[0].call, true, {{true, row}}});
-  world.Pass(50);
+  world.Advance(50);
   world.FinishAll(0);
-  world.Pass(50);
+  world.Advance(50);
   REQUIRE(world.Complete(1) != nullptr);
   world.inbox.emplace_back(entry_drain_requested{});
-  world.Pass(10'000);
-  CHECK_FALSE(world.entry.drained_said);
-  world.Pass(25'000);
-  CHECK(world.entry.drained_said);
+  world.Advance(10'000);
+  CHECK_FALSE(world.entry.drain_announced);
+  world.Advance(25'000);
+  CHECK(world.entry.drain_announced);
 }
--- a/tests/durable_unit_test.cc
+++ b/tests/durable_unit_test.cc
@@ -55,7 +55,7 @@
   size_t HeldEnds() const {
     size_t held = 0;
     for (const emulated_sidecar& sidecar : w.sidecars)
-      held += sidecar.core->keeper.held.size();
+      held += sidecar.core->lease_manager.held_ends.size();
     return held;
   }
 
@@ -300,7 +300,7 @@
   w.Pass(Millis(100));
   REQUIRE(w.jobs["late"].fate == job_fate::refused);
   w.Pass(Millis(700));
-  REQUIRE(entry.drained_said);
+  REQUIRE(entry.drain_announced);
   w.Pass(Millis(12'000));
   REQUIRE(w.jobs["long"].fate == job_fate::completed);
   RequireNothingBroken();
@@ -315,7 +315,7 @@
     w.SubmitTo(0, MakeDurable("job-" + std::to_string(i), 4, 2000, 9000));
   w.Pass(Millis(300));
   w.CutFromStore(0, Millis(20'000));
-  while (w.entries[0].core->leased.durable.owner_told)
+  while (w.entries[0].core->leased.durable.logged_as_owner)
     w.Pass(Millis(1));
   for (int i = 0; i < 4; ++i)
     w.Reset(0, i);
@@ -483,7 +483,7 @@
 }
 
 // Which worker runs a task of the job, but for one; -1: none.
-int RunnerBeside(const world& w, const std::string& job, int not_this) {
+int OtherRunner(const world& w, const std::string& job, int not_this) {
   for (size_t i = 0; i < w.workers.size(); ++i) {
     for (const auto& [task, run] : w.workers[i].runs) {
       if (task.job == job && static_cast<int>(i) != not_this)
@@ -515,7 +515,7 @@
   int first = -1;
   for (int i = 0; i < 100 && first < 0; ++i) {
     pass(10);
-    first = RunnerBeside(w, "job", -1);
+    first = OtherRunner(w, "job", -1);
   }
   REQUIRE(first >= 0);
   // It ends before the sidecar stops it, as its owner is silent.
@@ -523,7 +523,7 @@
   w.Cut(1, first, Millis(cut_ms));
   pass(250);
   KillEntries(w);
-  for (int i = 0; i < 400 && RunnerBeside(w, "job", first) < 0; ++i)
+  for (int i = 0; i < 400 && OtherRunner(w, "job", first) < 0; ++i)
     pass(10);
   KillEntries(w);
   pass(2000);
--- a/tests/emulated_fixtures.h
+++ b/tests/emulated_fixtures.h
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "cassiaferry/lease_keeper.h"
+#include "cassiaferry/lease_manager.h"
 #include "emulator/leased_world.h"
 
 namespace cassiaferry::emulator {
@@ -27,37 +27,37 @@
 // ---- [2] A keeper -----------------------------------------------------------
 
 // With a worker that answers, and one owner.
-struct keeper_of_one_owner {
-  keeper_of_one_owner() : k(MakeKeeper(keeper_options{})) {
-    TakeKeeperEvent(k, now, Announcement("life"));
-    TickKeeper(k, now);
-    Look({});
+struct manager_of_one_owner {
+  manager_of_one_owner() : k(MakeLeaseManager(lease_manager_options{})) {
+    HandleLeaseManagerEvent(k, now, Announcement("life"));
+    TickLeaseManager(k, now);
+    AnswerPoll({});
   }
 
   static leased_worker_announced Announcement(const std::string& life) {
     leased_worker_announced e;
-    e.info.life = {life};
+    e.info.session = {life};
     e.info.capacity = {16'000, 1000, 0};
     return e;
   }
 
   // The look under way is answered, and the next one sent.
-  void Look(const std::vector<run_ref>& running) {
-    look_answered e;
-    e.number = k.looks_open;
-    e.life = {"life"};
+  void AnswerPoll(const std::vector<run_ref>& running) {
+    poll_answered e;
+    e.number = k.open_poll;
+    e.session = {"life"};
     e.answer = worker_answer::ok;
     e.clock_ms = ToMillis(now);
     for (const run_ref& ref : running)
       e.running.push_back({ref, 50});
-    TakeKeeperEvent(k, now, e);
-    TickKeeper(k, now);
+    HandleLeaseManagerEvent(k, now, e);
+    TickLeaseManager(k, now);
   }
 
   template <typename Call>
   std::vector<Call> Calls() const {
     std::vector<Call> calls;
-    for (const keeper_action& a : k.actions) {
+    for (const lease_manager_action& a : k.actions) {
       if (const auto* call = std::get_if<Call>(&a))
         calls.push_back(*call);
     }
@@ -66,7 +66,7 @@
 
   static constexpr incarnation kOwner{7};
   micros now = Millis(1000);
-  keeper_state k;
+  lease_manager_state k;
 };
 
 }  // namespace cassiaferry::emulator
--- a/tests/idle_pairs_unit_test.cc
+++ b/tests/idle_pairs_unit_test.cc
@@ -11,7 +11,7 @@
 #include <catch2/catch.hpp>
 #include <string>
 
-#include "cassiaferry/lease_keeper.h"
+#include "cassiaferry/lease_manager.h"
 #include "emulator/leased_world.h"
 
 namespace cassiaferry::emulator {
@@ -19,14 +19,14 @@
 
 // ---- [1] Fixtures -----------------------------------------------------------
 
-struct quiet_system {
+struct idle_system {
   static world_options Options(int entries, int workers) {
     world_options options;
     options.entries = entries;
     options.workers = workers;
     return options;
   }
-  explicit quiet_system(int entries = 1, int workers = 2)
+  explicit idle_system(int entries = 1, int workers = 2)
       : w(Options(entries, workers)) {
     w.Pass(Millis(5000));
   }
@@ -63,26 +63,27 @@
 };
 
 // A keeper with room for four tasks, and an owner that waits for some.
-struct keeper_with_waiting_owner {
-  keeper_with_waiting_owner() : k(MakeKeeper(keeper_options{})) {
+struct lease_manager_with_waiting_owner {
+  lease_manager_with_waiting_owner()
+      : k(MakeLeaseManager(lease_manager_options{})) {
     leased_worker_announced e;
-    e.info.life = {"life"};
+    e.info.session = {"life"};
     e.info.capacity = {16'000, 1000, 0};
-    TakeKeeperEvent(k, now, e);
-    TickKeeper(k, now);
+    HandleLeaseManagerEvent(k, now, e);
+    TickLeaseManager(k, now);
     Answer();
     Order({});
     ReportFor(k, now, kOwner);
   }
 
   void Answer() {
-    look_answered look;
-    look.number = k.looks_open;
-    look.life = {"life"};
+    poll_answered look;
+    look.number = k.open_poll;
+    look.session = {"life"};
     look.answer = worker_answer::ok;
     look.clock_ms = ToMillis(now);
-    TakeKeeperEvent(k, now, look);
-    TickKeeper(k, now);
+    HandleLeaseManagerEvent(k, now, look);
+    TickLeaseManager(k, now);
   }
 
   void Order(std::vector<run_start> starts) {
@@ -90,7 +91,7 @@
     orders.echo = now.value;
     orders.wanted_cpu = 1000;
     orders.starts = std::move(starts);
-    TakeOrders(k, now, kOwner, orders);
+    HandleLeaseOrders(k, now, kOwner, orders);
   }
 
   static run_start Start(uint32_t index) {
@@ -99,7 +100,7 @@
 
   // A report is due now; it is sent.
   bool TakeDue() {
-    if (!k.owners[kOwner].due)
+    if (!k.owners[kOwner].report_pending)
       return false;
     ReportFor(k, now, kOwner);
     return true;
@@ -107,7 +108,7 @@
 
   static constexpr incarnation kOwner{7};
   micros now = Millis(1000);
-  keeper_state k;
+  lease_manager_state k;
 };
 
 // ---- [2] Frames -------------------------------------------------------------
@@ -117,10 +118,10 @@
 // a heartbeat 7.5 times a second in each direction, whether anything runs there
 // or not: 915 frames a second with 61 sidecars.
 TEST_CASE("system_without_jobs_exchanges_few_frames") {
-  quiet_system q(1, 61);
+  idle_system q(1, 61);
   const auto frames = [&] {
     const counters& c = q.w.entries[0].core->metrics;
-    return c.frames_sent + c.frames_taken;
+    return c.frames_sent + c.frames_received;
   };
   const uint64_t before = frames();
   q.w.Pass(Millis(10'000));
@@ -130,29 +131,29 @@
 
 // What a user sees: as above, under load. Cause: each of a job's tasks that
 // ends costs the entry a frame, though it can answer only after the last one.
-TEST_CASE_METHOD(keeper_with_waiting_owner,
+TEST_CASE_METHOD(lease_manager_with_waiting_owner,
                  "tasks_of_a_step_end_one_report_with_the_last") {
   Order({Start(0), Start(1), Start(2)});
   for (uint32_t i = 0; i < 3; ++i)
-    TakeKeeperEvent(
+    HandleLeaseManagerEvent(
         k, now, run_start_answered{Start(i).ref, {"life"}, worker_answer::ok});
   TakeDue();
   int reports = 0;
   for (uint32_t i = 0; i < 3; ++i) {
     now = now + Millis(10);
-    look_answered look;
-    look.number = k.looks_open;
-    look.life = {"life"};
+    poll_answered look;
+    look.number = k.open_poll;
+    look.session = {"life"};
     look.answer = worker_answer::ok;
     look.clock_ms = ToMillis(now);
     for (uint32_t left = i + 1; left < 3; ++left)
       look.running.push_back({Start(left).ref, 50});
     look.ended.push_back({i + 1, Start(i).ref, run_end_kind::done});
-    TakeKeeperEvent(k, now, look);
-    const size_t told = k.owners[kOwner].ends_told;
-    reports += k.owners[kOwner].due ? 1 : 0;
+    HandleLeaseManagerEvent(k, now, look);
+    const size_t told = k.owners[kOwner].ends_reported;
+    reports += k.owners[kOwner].report_pending ? 1 : 0;
     if (TakeDue())
-      CHECK(k.owners[kOwner].ends_told == told + 3);
+      CHECK(k.owners[kOwner].ends_reported == told + 3);
   }
   CHECK(reports == 1);
 }
@@ -162,7 +163,7 @@
 // What a user sees: the first request after a quiet second waits for a round
 // trip more than others. Order: the newest stamp that the entry has seen of the
 // sidecar is a second old, and a start that echoes it is refused as held up.
-TEST_CASE_METHOD(quiet_system, "pair_idle_first_start_is_taken") {
+TEST_CASE_METHOD(idle_system, "pair_idle_first_start_is_taken") {
   for (int i = 0; i < 20; ++i) {
     Submit("job-" + std::to_string(i), 20);
     w.Pass(Millis(1370));
@@ -179,7 +180,7 @@
 // alone, and starts the task elsewhere.
 TEST_CASE("pair_idle_then_cut_off_run_counts_as_over_by_its_start") {
   for (int64_t quiet_ms = 500; quiet_ms < 1500; quiet_ms += 50) {
-    quiet_system q(1, 2);
+    idle_system q(1, 2);
     q.w.Pass(Millis(quiet_ms));
     q.w.Cut(0, 0, Millis(4000), cut_ways::to_entry);
     q.w.Cut(0, 1, Millis(4000), cut_ways::to_entry);
@@ -205,7 +206,7 @@
 // sidecar is believed closes the stream, and the task goes elsewhere when the
 // run would be over.
 TEST_CASE("orders_held_up_task_starts_elsewhere") {
-  quiet_system q(2, 2);
+  idle_system q(2, 2);
   q.w.Cut(0, 0, Millis(6000), cut_ways::to_sidecar);
   for (int i = 0; i < 6; ++i)
     q.Submit("job-" + std::to_string(i), 50);
@@ -226,7 +227,8 @@
 // Order: it waits for room; each of 61 workers offers it some every few
 // milliseconds, 1,000 frames a second; it answers none in time. Guard: after
 // each offer that comes to nothing the next one waits twice as long.
-TEST_CASE_METHOD(keeper_with_waiting_owner, "offers_missed_come_less_often") {
+TEST_CASE_METHOD(lease_manager_with_waiting_owner,
+                 "offers_missed_come_less_often") {
   const auto offers_in = [&](micros time) {
     int offers = 0;
     const micros until = now + time;
@@ -240,12 +242,12 @@
   };
   CHECK(offers_in(Millis(1000)) <= 8);
   // One that it takes shows that it is there again.
-  k.owners[kOwner].offer_after = now;
+  k.owners[kOwner].next_offer_at = now;
   k.used.memory_mb = 5;
   Answer();
   REQUIRE(TakeDue());
   Order({Start(0)});
-  TakeKeeperEvent(
+  HandleLeaseManagerEvent(
       k, now, run_start_answered{Start(0).ref, {"life"}, worker_answer::ok});
   CHECK(offers_in(Millis(100)) >= 2);
 }
--- a/tests/lateness_unit_test.cc
+++ b/tests/lateness_unit_test.cc
@@ -37,8 +37,8 @@
     for (int i = 0; i < 10; ++i) {
       l.sum_us = 0;
       l.frames = 0;
-      NoteFrame(l, late.value);
-      TickLateness(l, l.began + l.options.interval);
+      RecordFrameDelay(l, late.value);
+      TickLateness(l, l.interval_start + l.options.interval);
     }
   }
 
--- a/tests/leased_unit_test.cc
+++ b/tests/leased_unit_test.cc
@@ -46,7 +46,7 @@
   int next = 0;
 };
 
-struct one_keeper : keeper_of_one_owner {
+struct one_lease_manager : manager_of_one_owner {
   static run_ref Ref(const std::string& job, uint32_t run) {
     return {{job, 0, 0, 0}, run};
   }
@@ -214,13 +214,13 @@
 // taken.
 TEST_CASE_METHOD(racked_jobs, "data_near_tasks_run_there_while_there_is_room") {
   emulated_job job = MakeJob("fits", 8, 4000, 100);
-  job.steps[0].near = "r1";
+  job.steps[0].preferred_label = "r1";
   w.Submit(std::move(job));
   w.Pass(Millis(300));
   REQUIRE(StartsIn(0, 2) == 8);
   REQUIRE(StartsIn(2, 4) == 0);
   job = MakeJob("more", 12, 4000, 100);
-  job.steps[0].near = "r1";
+  job.steps[0].preferred_label = "r1";
   w.Submit(std::move(job));
   w.Pass(Millis(150));
   REQUIRE(w.Count(job_fate::completed) == 2);
@@ -229,7 +229,7 @@
 
 TEST_CASE_METHOD(racked_jobs, "most_per_worker_is_kept") {
   emulated_job job = MakeJob("job", 10, 500, 300);
-  job.steps[0].most_per_worker = 2;
+  job.steps[0].max_per_worker = 2;
   w.Submit(std::move(job));
   for (int i = 0; i < 90; ++i) {
     w.Pass(Millis(10));
@@ -242,7 +242,7 @@
 // What a user sees: a job that fits every worker is refused for good. Order:
 // the workers' room shrinks for a second, the job comes, the room grows again.
 TEST_CASE_METHOD(leased_jobs, "room_small_for_a_while_job_waits_and_is_done") {
-  const room whole = w.options.capacity;
+  const resources whole = w.options.capacity;
   w.options.capacity = {2000, 8192, 0};
   w.Pass(Millis(2500));
   w.Submit(MakeJob("job", 1, 4000, 1500));
@@ -363,23 +363,23 @@
 // runs as fast as expected, and its worker reports whole percents; a look
 // sooner than the next percent shows nothing done. Cause: that counts as a
 // standstill.
-TEST_CASE_METHOD(one_keeper,
+TEST_CASE_METHOD(one_lease_manager,
                  "run_of_many_seconds_on_a_sound_worker_is_no_straggler") {
   const std::vector<std::string> jobs = {"a", "b", "c"};
   for (const std::string& job : jobs) {
     lease_orders orders = Order(job, 1);
     orders.starts[0].expected_ms = 14'000;
-    TakeOrders(k, now, kOwner, orders);
-    TakeKeeperEvent(
+    HandleLeaseOrders(k, now, kOwner, orders);
+    HandleLeaseManagerEvent(
         k, now, run_start_answered{Ref(job, 1), {"life"}, worker_answer::ok});
   }
   const micros began = now;
   double least = 1;
   for (int i = 0; i < 60; ++i) {
     now = now + Millis(50);
-    look_answered e;
-    e.number = k.looks_open;
-    e.life = {"life"};
+    poll_answered e;
+    e.number = k.open_poll;
+    e.session = {"life"};
     e.answer = worker_answer::ok;
     e.clock_ms = ToMillis(now);
     for (const std::string& job : jobs)
@@ -387,9 +387,9 @@
           {Ref(job, 1), static_cast<uint32_t>(ToMillis(now - began) / 140)});
     lease_orders vouch;
     vouch.echo = now.value;
-    TakeOrders(k, now, kOwner, vouch);
-    TakeKeeperEvent(k, now, e);
-    TickKeeper(k, now);
+    HandleLeaseOrders(k, now, kOwner, vouch);
+    HandleLeaseManagerEvent(k, now, e);
+    TickLeaseManager(k, now);
     least = std::min(least, k.pace);
   }
   REQUIRE(least > 0.8);
@@ -513,17 +513,17 @@
 // What a user sees: a worker over its room, or a task that runs twice. Order: a
 // start lies in the network for seconds; its owner has given it up, and started
 // the task elsewhere. It echoes a stamp that is too old to be taken.
-TEST_CASE_METHOD(one_keeper, "order_with_an_old_stamp_is_not_started") {
+TEST_CASE_METHOD(one_lease_manager, "order_with_an_old_stamp_is_not_started") {
   now = now + Millis(2000);
-  Look({});
+  AnswerPoll({});
   lease_orders stale = Order("late", 1);
-  stale.echo = (now - k.options.bounds.vouch - micros{1}).value;
-  TakeOrders(k, now, kOwner, stale);
+  stale.echo = (now - k.options.bounds.owner_lease - micros{1}).value;
+  HandleLeaseOrders(k, now, kOwner, stale);
   REQUIRE(Calls<call_run_start>().empty());
   const lease_reports report = ReportFor(k, now, kOwner);
   REQUIRE(report.ends.size() == 1);
-  REQUIRE(report.ends[0].how == run_end_kind::never_started);
-  TakeOrders(k, now, kOwner, Order("fresh", 1));
+  REQUIRE(report.ends[0].kind == run_end_kind::never_started);
+  HandleLeaseOrders(k, now, kOwner, Order("fresh", 1));
   REQUIRE(Calls<call_run_start>().size() == 1);
 }
 
@@ -531,32 +531,32 @@
 // gets no answer, the second is refused for want of room; the owner starts the
 // task elsewhere; then the first copy is carried out. Guard: the run is stopped
 // first, which keeps a late copy out for good.
-TEST_CASE_METHOD(one_keeper,
+TEST_CASE_METHOD(one_lease_manager,
                  "start_refused_after_a_lost_copy_is_stopped_first") {
-  TakeOrders(k, now, kOwner, Order("job", 1));
-  TakeKeeperEvent(
+  HandleLeaseOrders(k, now, kOwner, Order("job", 1));
+  HandleLeaseManagerEvent(
       k, now, run_start_answered{Ref("job", 1), {"life"}, worker_answer::none});
-  TakeKeeperEvent(
+  HandleLeaseManagerEvent(
       k, now,
-      run_start_answered{Ref("job", 1), {"life"}, worker_answer::no_room});
+      run_start_answered{Ref("job", 1), {"life"}, worker_answer::no_resources});
   REQUIRE(Calls<call_run_stop>().size() == 1);
   REQUIRE(ReportFor(k, now, kOwner).ends.empty());
-  TakeKeeperEvent(
+  HandleLeaseManagerEvent(
       k, now, run_stop_answered{Ref("job", 1), {"life"}, worker_answer::ok});
-  Look({});
-  Look({});
+  AnswerPoll({});
+  AnswerPoll({});
   const lease_reports report = ReportFor(k, now, kOwner);
   REQUIRE(report.ends.size() == 1);
-  REQUIRE(report.ends[0].how == run_end_kind::stopped);
+  REQUIRE(report.ends[0].kind == run_end_kind::stopped);
 }
 
 // Order: the clock of this machine went back between two sidecars, and the
 // second's fence is below what the worker has seen. It rises until it is taken.
-TEST_CASE_METHOD(one_keeper,
+TEST_CASE_METHOD(one_lease_manager,
                  "fence_below_what_was_seen_rises_and_start_repeats") {
-  TakeOrders(k, now, kOwner, Order("job", 1));
+  HandleLeaseOrders(k, now, kOwner, Order("job", 1));
   const uint64_t fence = Calls<call_run_start>().back().fence;
-  TakeKeeperEvent(
+  HandleLeaseManagerEvent(
       k, now,
       run_start_answered{Ref("job", 1), {"life"}, worker_answer::stale_fence});
   REQUIRE(Calls<call_run_start>().size() == 2);
@@ -568,86 +568,89 @@
 // lease must lapse first; it has granted none itself. Cause: the lease that the
 // dead one granted still holds, and may be the longest that a worker accepts:
 // granted by the clock of an earlier life, unnoticed.
-TEST_CASE_METHOD(one_keeper,
+TEST_CASE_METHOD(one_lease_manager,
                  "end_too_late_waits_for_the_lease_granted_before") {
-  k.options.keeps_ends = true;
+  k.options.holds_unknown_ends = true;
   const auto seen_in_next_look = [&] {
     k.actions.clear();
-    Look({});
+    AnswerPoll({});
     now = now + Millis(20);
-    TickKeeper(k, now);
-    const std::vector<call_look> looks = Calls<call_look>();
-    return looks.empty() ? uint64_t{0} : looks.back().seen;
+    TickLeaseManager(k, now);
+    const std::vector<call_poll> looks = Calls<call_poll>();
+    return looks.empty() ? uint64_t{0} : looks.back().acked_through;
   };
-  look_answered found;
-  found.number = k.looks_open;
-  found.life = {"life"};
+  poll_answered found;
+  found.number = k.open_poll;
+  found.session = {"life"};
   found.answer = worker_answer::ok;
   found.clock_ms = ToMillis(now);
   found.ended.push_back({1, Ref("job", 1), run_end_kind::done});
-  TakeKeeperEvent(k, now, found);
-  TickKeeper(k, now);
+  HandleLeaseManagerEvent(k, now, found);
+  TickLeaseManager(k, now);
   lease_orders orders;
   orders.echo = now.value;
-  orders.settled.push_back({Ref("job", 1), end_fate::lapse});
-  TakeOrders(k, now, kOwner, orders);
-  const micros lapsed = k.life_since + PassedAfter(k.options.bounds.longest);
+  orders.resolved_ends.push_back(
+      {Ref("job", 1), end_disposition::expire_lease});
+  HandleLeaseOrders(k, now, kOwner, orders);
+  const micros lapsed =
+      k.session_since + ElapsedByAnyClock(k.options.bounds.max_lease);
   const auto seen_at = [&](micros time) {
     now = time;
-    TickKeeper(k, now);
+    TickLeaseManager(k, now);
     return seen_in_next_look();
   };
-  REQUIRE(seen_at(k.life_since + Millis(100)) == 0);
+  REQUIRE(seen_at(k.session_since + Millis(100)) == 0);
   REQUIRE(seen_at(lapsed - Millis(20)) == 0);
   REQUIRE(seen_at(lapsed + k.options.bounds.margin) == 1);
 }
 
 // Order: an announcement of the worker's last life was held up by a cut, and
 // arrives after the new life's.
-TEST_CASE_METHOD(one_keeper, "announcement_of_a_past_life_is_ignored") {
-  TakeKeeperEvent(k, now, Announcement("second"));
-  look_answered over;
-  over.number = k.looks_open;
-  over.life = {"life"};
-  over.answer = worker_answer::other_life;
-  TakeKeeperEvent(k, now, over);
-  REQUIRE(k.worker.life.id == "second");
-  TickKeeper(k, now);
-  const size_t looks = Calls<call_look>().size();
-  TakeKeeperEvent(k, now, Announcement("life"));
-  REQUIRE(k.worker.life.id == "second");
-  REQUIRE(Calls<call_look>().size() == looks);  // it isn't asked about either
+TEST_CASE_METHOD(one_lease_manager, "announcement_of_a_past_life_is_ignored") {
+  HandleLeaseManagerEvent(k, now, Announcement("second"));
+  poll_answered over;
+  over.number = k.open_poll;
+  over.session = {"life"};
+  over.answer = worker_answer::other_session;
+  HandleLeaseManagerEvent(k, now, over);
+  REQUIRE(k.worker.session.id == "second");
+  TickLeaseManager(k, now);
+  const size_t looks = Calls<call_poll>().size();
+  HandleLeaseManagerEvent(k, now, Announcement("life"));
+  REQUIRE(k.worker.session.id == "second");
+  REQUIRE(Calls<call_poll>().size() == looks);  // it isn't asked about either
 }
 
 // What a user sees: jobs of an entry that never end, though their tasks do.
 // Order: the sidecar forgets the entry (a goodbye, or a minute of silence); the
 // entry comes back, and has had more ends than the sidecar now counts.
-TEST_CASE_METHOD(one_keeper, "owner_forgotten_and_back_ends_are_numbered_on") {
+TEST_CASE_METHOD(one_lease_manager,
+                 "owner_forgotten_and_back_ends_are_numbered_on") {
   ForgetOwner(k, kOwner);
   lease_orders orders = Order("job", 1);
   orders.is_first = true;
   orders.acked_end = 10;
-  TakeOrders(k, now, kOwner, orders);
-  TakeKeeperEvent(
+  HandleLeaseOrders(k, now, kOwner, orders);
+  HandleLeaseManagerEvent(
       k, now,
-      run_start_answered{Ref("job", 1), {"life"}, worker_answer::no_room});
+      run_start_answered{Ref("job", 1), {"life"}, worker_answer::no_resources});
   const lease_reports report = ReportFor(k, now, kOwner);
   REQUIRE(report.ends.size() == 1);
   REQUIRE(report.ends[0].number == 11);
 }
 
 // While calls get lost, looks are short: a lost one leaves ends unseen.
-TEST_CASE_METHOD(one_keeper, "look_lost_the_next_ones_wait_shorter") {
-  TakeOrders(k, now, kOwner, Order("job", 1));
-  Look({});
-  const int64_t calm = Calls<call_look>().back().wait_ms;
-  look_answered none;
-  none.number = k.looks_open;
-  none.life = {"life"};
-  TakeKeeperEvent(k, now, none);
+TEST_CASE_METHOD(one_lease_manager, "look_lost_the_next_ones_wait_shorter") {
+  HandleLeaseOrders(k, now, kOwner, Order("job", 1));
+  AnswerPoll({});
+  const int64_t calm = Calls<call_poll>().back().wait_ms;
+  poll_answered none;
+  none.number = k.open_poll;
+  none.session = {"life"};
+  HandleLeaseManagerEvent(k, now, none);
   now = now + Millis(200);
-  TickKeeper(k, now);
-  REQUIRE(Calls<call_look>().back().wait_ms < calm / 4);
+  TickLeaseManager(k, now);
+  REQUIRE(Calls<call_poll>().back().wait_ms < calm / 4);
 }
 
 // Order: the path between an entry and one sidecar is cut for 3 s; frames are
--- a/tests/link_unit_test.cc
+++ b/tests/link_unit_test.cc
@@ -5,7 +5,7 @@
 //   [2] The rate of a link
 //   [3] Configuration on request
 
-#include "cassiaferry/pack.h"
+#include "cassiaferry/compression.h"
 
 #include <catch2/catch.hpp>
 #include <random>
@@ -30,27 +30,28 @@
 TEST_CASE("pack_any_text_comes_back") {
   for (size_t size : {0u, 1u, 200u, 4000u, 300'000u}) {
     const std::string text = Letters(size, static_cast<unsigned>(size) + 1);
-    const auto back = Unpack(Pack(text));
+    const auto back = Decompress(Compress(text));
     REQUIRE(back.has_value());
     REQUIRE(*back == text);
   }
 }
 
 TEST_CASE("pack_letters_of_sixteen_take_about_half") {
-  REQUIRE(Pack(Letters(2400, 7)).size() < 1400);
+  REQUIRE(Compress(Letters(2400, 7)).size() < 1400);
 }
 
 TEST_CASE("unpack_cut_short_or_foreign_refused") {
-  const std::string packed = Pack(Letters(4000, 1));
+  const std::string packed = Compress(Letters(4000, 1));
   for (size_t keep : {size_t{0}, size_t{1}, packed.size() - 1})
-    REQUIRE_FALSE(Unpack(packed.substr(0, keep)).has_value());
-  REQUIRE_FALSE(Unpack("\xff\xff\xff not packed").has_value());
+    REQUIRE_FALSE(Decompress(packed.substr(0, keep)).has_value());
+  REQUIRE_FALSE(Decompress("\xff\xff\xff not packed").has_value());
 }
 
 // What an operator would see: a process ends for want of memory. Cause: a few
 // kilobytes that unpack to gigabytes.
 TEST_CASE("unpack_beyond_bound_refused") {
-  REQUIRE_FALSE(Unpack(Pack(std::string(kMostUnpackedBytes * 2, 'a'))));
+  REQUIRE_FALSE(
+      Decompress(Compress(std::string(kMaxDecompressedBytes * 2, 'a'))));
 }
 
 // ---- [2] The rate of a link -------------------------------------------------
@@ -70,7 +71,7 @@
               micros{static_cast<int64_t>(kBytes / kRate * 1e6)};
     longest_wait = std::max(longest_wait, free_at - now);
     under_way.push_back({now, free_at + kWay + own_wait});
-    NoteSent(u, stream, now, kBytes);
+    RecordSent(u, stream, now, kBytes);
     sent += kBytes;
   }
 
@@ -87,7 +88,8 @@
       return;
     const int64_t transit = PeerClock(newest.arrives) - newest.sent.value;
     const int64_t held = PeerClock(now) - PeerClock(newest.arrives);
-    NoteArrived(u, stream, now + kWay + way_back, {newest.sent, transit, held});
+    RecordArrived(u, stream, now + kWay + way_back,
+                  {newest.sent, transit, held});
   }
 
   // Payloads wait all the time, or one comes each so many milliseconds.
@@ -95,7 +97,7 @@
     const micros until = now + time;
     for (int64_t step = 0; now < until; ++step, now = now + kStep) {
       TickUplink(u, now, own_wait);
-      if (step % every_ms == 0 && TakesPayload(u))
+      if (step % every_ms == 0 && MaySendPayload(u))
         SendFrame();
       if (step % 20 == 0)
         Report();
@@ -121,7 +123,7 @@
 
 TEST_CASE_METHOD(uplink_on_thin_link, "rate_stated_no_queue_and_well_used") {
   uplink_options options;
-  options.stated = kRate;
+  options.configured_rate = kRate;
   Begin(options);
   Play(Millis(10'000));
   REQUIRE(ToMillis(longest_wait) < 60);
--- a/tests/starts_wait_unit_test.cc
+++ b/tests/starts_wait_unit_test.cc
@@ -12,7 +12,7 @@
 #include <string>
 #include <vector>
 
-#include "cassiaferry/lease_keeper.h"
+#include "cassiaferry/lease_manager.h"
 #include "emulator/load_play.h"
 
 namespace cassiaferry {
@@ -23,16 +23,16 @@
 // A worker of four tasks, all of whose room an owner's runs have: one of them
 // is expected to end soon.
 struct full_worker {
-  full_worker() : k(MakeKeeper(keeper_options{})) {
+  full_worker() : k(MakeLeaseManager(lease_manager_options{})) {
     leased_worker_announced e;
-    e.info.life = {"life"};
+    e.info.session = {"life"};
     e.info.capacity = {4000, 1000, 0};
-    TakeKeeperEvent(k, now, e);
-    TickKeeper(k, now);
+    HandleLeaseManagerEvent(k, now, e);
+    TickLeaseManager(k, now);
     Look({}, {});
     for (int i = 0; i < 4; ++i)
       Order(kOther, "runs-" + std::to_string(i), i == 0 ? 30 : 500);
-    TickKeeper(k, now);
+    TickLeaseManager(k, now);
     k.actions.clear();
     PassVouched(Millis(20));
   }
@@ -42,37 +42,37 @@
   void Vouch(incarnation owner) {
     lease_orders orders;
     orders.echo = now.value;
-    TakeOrders(k, now, owner, orders);
+    HandleLeaseOrders(k, now, owner, orders);
   }
 
   void Order(incarnation owner, const std::string& job, uint32_t expected_ms) {
     lease_orders orders;
     orders.echo = now.value;
     orders.starts.push_back({Ref(job), {1000, 10, 0}, expected_ms, ""});
-    TakeOrders(k, now, owner, orders);
-    TakeKeeperEvent(k, now,
-                    run_start_answered{Ref(job), {"life"}, worker_answer::ok});
+    HandleLeaseOrders(k, now, owner, orders);
+    HandleLeaseManagerEvent(
+        k, now, run_start_answered{Ref(job), {"life"}, worker_answer::ok});
   }
 
   void PassVouched(micros time) {
     now = now + time;
     Vouch(kOwner);
     Vouch(kOther);
-    TickKeeper(k, now);
+    TickLeaseManager(k, now);
   }
 
   void Look(const std::vector<run_ref>& running,
             const std::vector<listed_end>& ended) {
-    look_answered e;
-    e.number = k.looks_open;
-    e.life = {"life"};
+    poll_answered e;
+    e.number = k.open_poll;
+    e.session = {"life"};
     e.answer = worker_answer::ok;
     e.clock_ms = ToMillis(now);
     for (const run_ref& ref : running)
       e.running.push_back({ref, 50});
     e.ended = ended;
-    TakeKeeperEvent(k, now, e);
-    TickKeeper(k, now);
+    HandleLeaseManagerEvent(k, now, e);
+    TickLeaseManager(k, now);
   }
 
   // The first run ends.
@@ -92,14 +92,14 @@
   std::vector<run_end_kind> Told() {
     std::vector<run_end_kind> told;
     for (const run_end& end : ReportFor(k, now, kOwner).ends)
-      told.push_back(end.how);
+      told.push_back(end.kind);
     return told;
   }
 
   static constexpr incarnation kOwner{7};
   static constexpr incarnation kOther{8};
   micros now = Millis(1000);
-  keeper_state k;
+  lease_manager_state k;
 };
 
 const std::vector<run_end_kind> kRefused = {run_end_kind::never_started};
@@ -115,7 +115,7 @@
   EndOne();
   CHECK(Starts() == 1);
   CHECK(Told().empty());
-  CHECK(FreeRoom(k).cpu == 0);
+  CHECK(FreeResources(k).cpu == 0);
 }
 
 // What a user sees: with thin links a job takes twice as long. Order: starts
@@ -123,9 +123,9 @@
 // full; its vouches stand in that queue, run out, and its runs are stopped.
 TEST_CASE_METHOD(full_worker, "start_waits_owner_hears_at_once") {
   ReportFor(k, now, kOwner);
-  REQUIRE_FALSE(k.owners[kOwner].due);
+  REQUIRE_FALSE(k.owners[kOwner].report_pending);
   Order(kOwner, "new", 50);
-  CHECK(k.owners[kOwner].due);
+  CHECK(k.owners[kOwner].report_pending);
 }
 
 // What a user sees: with thin links jobs are late though other workers are
@@ -143,11 +143,11 @@
 
 TEST_CASE_METHOD(full_worker, "start_that_waited_its_time_is_refused") {
   Order(kOwner, "new", 50);
-  PassVouched(k.options.start_wait + micros{1});
+  PassVouched(k.options.max_start_wait + micros{1});
   CHECK(Told() == kRefused);
   EndOne();
   CHECK(Starts() == 0);
-  CHECK(FreeRoom(k).cpu == 1000);
+  CHECK(FreeResources(k).cpu == 1000);
 }
 
 TEST_CASE_METHOD(full_worker, "starts_beyond_what_may_wait_refused_at_once") {
@@ -164,26 +164,26 @@
   EndOne();
   Order(kOther, "later", 50);
   CHECK(Starts() == 1);
-  CHECK((k.used - k.waiting_room).cpu <= k.worker.capacity.cpu);
+  CHECK((k.used - k.waiting_resources).cpu <= k.worker.capacity.cpu);
 }
 
 // What the worker's owner sees: more runs than its room holds. Order: a start
 // waits, the worker's room shrinks to less than what runs there, a run ends.
 // What runs still counts; the start begins once it fits what the room is now.
 TEST_CASE_METHOD(full_worker, "start_waits_room_shrinks_never_begins_over_it") {
-  k.options.start_wait = Millis(5000);
+  k.options.max_start_wait = Millis(5000);
   Order(kOwner, "new", 50);
   leased_worker_announced e;
   e.info = k.worker;
   e.info.capacity.cpu = 3000;
   e.sequence = 5;
-  TakeKeeperEvent(k, now, e);
+  HandleLeaseManagerEvent(k, now, e);
   EndOne();
   CHECK(Starts() == 0);
   e.info.capacity.cpu = 4000;
   e.sequence = 6;
-  TakeKeeperEvent(k, now, e);
-  TickKeeper(k, now);
+  HandleLeaseManagerEvent(k, now, e);
+  TickLeaseManager(k, now);
   CHECK(Starts() == 1);
 }
 
@@ -193,13 +193,13 @@
 // here, the path to its owner is cut, the owner counts it as over and starts
 // the task elsewhere; then room gets free.
 TEST_CASE_METHOD(full_worker, "start_waits_owner_falls_silent_never_begins") {
-  k.options.start_wait = Millis(5000);
+  k.options.max_start_wait = Millis(5000);
   Order(kOwner, "new", 50);
-  const micros until = now + k.options.bounds.vouch + micros{1};
+  const micros until = now + k.options.bounds.owner_lease + micros{1};
   while (now < until) {
     now = now + Millis(20);
     Vouch(kOther);
-    TickKeeper(k, now);
+    TickLeaseManager(k, now);
   }
   EndOne();
   CHECK(Starts() == 0);
@@ -212,7 +212,7 @@
   lease_orders stop;
   stop.echo = now.value;
   stop.stops.push_back(Ref("new"));
-  TakeOrders(k, now, kOwner, stop);
+  HandleLeaseOrders(k, now, kOwner, stop);
   EndOne();
   CHECK(Starts() == 0);
   CHECK(Told() == kRefused);
@@ -226,17 +226,17 @@
   lease_orders first;
   first.echo = now.value;
   first.is_first = true;
-  TakeOrders(k, now, kOwner, first);
+  HandleLeaseOrders(k, now, kOwner, first);
   EndOne();
   CHECK(Starts() == 0);
 }
 
 TEST_CASE_METHOD(full_worker, "start_waits_worker_lost_told_as_not_started") {
   Order(kOwner, "new", 50);
-  TakeKeeperEvent(k, now, leased_worker_left{{"life"}});
+  HandleLeaseManagerEvent(k, now, leased_worker_deregistered{{"life"}});
   CHECK(Told() == kRefused);
-  CHECK(k.waiting.empty());
-  CHECK(k.waiting_room == room{});
+  CHECK(k.waiting_starts.empty());
+  CHECK(k.waiting_resources == resources{});
 }
 
 TEST_CASE_METHOD(full_worker, "start_waits_worker_drains_never_begins") {
@@ -245,7 +245,7 @@
   e.info = k.worker;
   e.sequence = 5;
   e.draining = true;
-  TakeKeeperEvent(k, now, e);
+  HandleLeaseManagerEvent(k, now, e);
   EndOne();
   CHECK(Starts() == 0);
   CHECK(Told() == kRefused);
--- a/tests/stops_unanswered_unit_test.cc
+++ b/tests/stops_unanswered_unit_test.cc
@@ -9,14 +9,14 @@
 namespace {
 
 // A run whose owner has said its last word, on a worker that answers looks.
-struct keeper_of_a_silent_owner : keeper_of_one_owner {
-  keeper_of_a_silent_owner() {
+struct manager_of_a_silent_owner : manager_of_one_owner {
+  manager_of_a_silent_owner() {
     lease_orders orders;
     orders.echo = now.value;
     orders.starts.push_back({the_run, {1000, 10, 0}, 100, ""});
-    TakeOrders(k, now, kOwner, orders);
-    TakeKeeperEvent(k, now,
-                    run_start_answered{the_run, {"life"}, worker_answer::ok});
+    HandleLeaseOrders(k, now, kOwner, orders);
+    HandleLeaseManagerEvent(
+        k, now, run_start_answered{the_run, {"life"}, worker_answer::ok});
   }
 
   // Each order to stop gets this answer; the run is listed until one is taken.
@@ -25,32 +25,34 @@
     for (const micros until = now + time; now < until;) {
       k.actions.clear();
       now = now + kStep;
-      Look(stopped ? std::vector<run_ref>{} : std::vector<run_ref>{the_run});
+      AnswerPoll(stopped ? std::vector<run_ref>{}
+                         : std::vector<run_ref>{the_run});
       for (size_t i = Calls<call_run_stop>().size(); i > 0; --i)
-        TakeKeeperEvent(k, now, run_stop_answered{the_run, {"life"}, to_stops});
+        HandleLeaseManagerEvent(k, now,
+                                run_stop_answered{the_run, {"life"}, to_stops});
       stopped = stopped || (to_stops == worker_answer::ok &&
                             !Calls<call_run_stop>().empty());
     }
   }
 
   const run_ref the_run{{"job", 0, 0, 0}, 1};
-  const int64_t over_ms = ToMillis(now + OverAfter(k.options.bounds));
+  const int64_t over_ms = ToMillis(now + RunsOverAfter(k.options.bounds));
   bool stopped = false;
 };
 
 // Guards against a run that nobody vouches for and whose stop isn't carried
 // out: each look gives its worker a longer lease.
-TEST_CASE_METHOD(keeper_of_a_silent_owner,
+TEST_CASE_METHOD(manager_of_a_silent_owner,
                  "stop_not_carried_out_lease_ends_in_time") {
   const auto answer = GENERATE(worker_answer::none, worker_answer::unavailable);
   Pass(Millis(3000), answer);
-  CHECK(ToMillis(k.lease_over) <= over_ms);
+  CHECK(ToMillis(k.leases_end_at) <= over_ms);
 }
 
-TEST_CASE_METHOD(keeper_of_a_silent_owner, "stop_taken_lease_ends_in_time") {
+TEST_CASE_METHOD(manager_of_a_silent_owner, "stop_taken_lease_ends_in_time") {
   Pass(Millis(3000), worker_answer::ok);
   CHECK(stopped);
-  CHECK(ToMillis(k.lease_over) <= over_ms);
+  CHECK(ToMillis(k.leases_end_at) <= over_ms);
 }
 
 }  // namespace
--- a/tests/system.cc
+++ b/tests/system.cc
@@ -17,7 +17,7 @@
 
 constexpr std::chrono::milliseconds kPoll{20};
 constexpr int64_t kCallTimeoutMs = 120'000;
-constexpr int kEndSeconds = 60;
+constexpr int kExitTimeoutS = 60;
 
 std::string BinFolder() {
   const std::string folder = ProgramFolder();
@@ -84,10 +84,10 @@
   for (const child& c : restarted_) {
     SignalChild(c, SIGCONT);
     SignalChild(c, SIGKILL);
-    WaitChild(c, kEndSeconds);
+    WaitChild(c, kExitTimeoutS);
   }
   SignalChild(local_, SIGTERM);
-  WaitChild(local_, kEndSeconds);
+  WaitChild(local_, kExitTimeoutS);
 }
 
 reply test_system::Job(int entry, const json& job) const {
