--- a/src/core/entry_links.cc
+++ b/src/core/entry_links.cc
@@ -1,10 +1,10 @@
-// Streams to sidecars: greeting, reconciling, results, silence, frames.
+// Streams to sidecars: hello, reconciliation, results, silence, frames.
 //
 // Contents
 //   [1] Workers by name and link
-//   [2] Losing tasks
-//   [3] Greeting
-//   [4] Reconciling
+//   [2] Lost tasks
+//   [3] Hello frames
+//   [4] Reconciliation
 //   [5] Results and rejects
 //   [6] Frames
 //   [7] Silence and loss
@@ -18,8 +18,8 @@
 
 namespace {
 
-constexpr int64_t kBusyPauseMs =
-    100;  // a worker whose upstream refuses gets nothing for this long
+// A worker whose upstream refuses a task gets none for so long.
+constexpr int64_t kBusyPauseMs = 100;
 
 // ---- [1] Workers by name and link -------------------------------------------
 
@@ -42,10 +42,10 @@
   upstream.max_memory_mb = std::max(upstream.max_memory_mb, info.memory_mb);
 }
 
-// ---- [2] Losing tasks -------------------------------------------------------
+// ---- [2] Lost tasks ---------------------------------------------------------
 
-// The fate of these tasks can't be known any more: their jobs fail, saying that
-// they may have run.
+// The outcome of these tasks can no longer be known: their jobs fail as "may
+// have run".
 void FailLostTasks(entry_state& s,
                    micros now,
                    worker_id id,
@@ -89,9 +89,9 @@
   SuspendPlacement(s, id);
 }
 
-// ---- [3] Greeting -----------------------------------------------------------
+// ---- [3] Hello frames -------------------------------------------------------
 
-// A sidecar that restarted under its old name has forgotten every task.
+// A sidecar that restarted under the same name has lost all its tasks.
 void ReplaceSidecar(entry_state& s,
                     micros now,
                     worker_id id,
@@ -108,7 +108,8 @@
   FailLostTasks(s, now, id, lost);
 }
 
-// A sidecar that is behind gets the closings, once on a stream.
+// Attaches the closed domains if the sidecar knows an older version, at most
+// once per version and stream.
 void AttachClosedDomains(const entry_state& s,
                          worker_row& w,
                          entry_frame& frame) {
@@ -135,8 +136,8 @@
                  micros now,
                  link_id link,
                  const sidecar_frame& frame) {
-  // Failure guarded against: sidecars that have been told goodbye dial again,
-  // and the end of this process waits for streams that nobody ends.
+  // Failure guarded against: sidecars dial again after the shutdown notice, and
+  // this process waits to exit for streams that nobody closes.
   if (s.drain_announced) {
     s.actions.push_back(close_link{link});
     return;
@@ -148,7 +149,7 @@
     return;
   }
   DisconnectWorker(s, now, id, true);
-  const bool same_life = w.sidecar == frame.hello->sidecar;
+  const bool same_incarnation = w.sidecar == frame.hello->sidecar;
   ReplaceSidecar(s, now, id, frame.hello->sidecar);
   w.failure_domain = frame.hello->failure_domain;
   w.state = worker_link::handshake;
@@ -165,16 +166,16 @@
   w.load = {};
   w.outbox = {};
   s.links[link] = id;
-  entry_frame greeting = MakeHelloFrame(s, w);
+  entry_frame hello_frame = MakeHelloFrame(s, w);
   if (s.leased.options.enabled)
-    StartLeaseStream(s, id, same_life, greeting);
-  s.actions.push_back(send_to_sidecar{link, std::move(greeting)});
+    StartLeaseStream(s, id, same_incarnation, hello_frame);
+  s.actions.push_back(send_to_sidecar{link, std::move(hello_frame)});
 }
 
-// ---- [4] Reconciling --------------------------------------------------------
+// ---- [4] Reconciliation -----------------------------------------------------
 
-// The sidecar's memory of this entry has gone, or parts of it. "Never started"
-// is then no proof, and becomes "may have run".
+// Whether the sidecar has lost any of its state about this entry. "Never
+// started" is then no proof, and becomes "may have run".
 bool HasForgotten(const worker_row& w, const reconcile_reply& reply) {
   return w.memory_token != 0 && w.memory_token != reply.memory_token;
 }
@@ -211,10 +212,10 @@
 void FailTask(entry_state& s,
               micros now,
               job_row& job,
-              reason why,
+              reason cause,
               const std::string& message) {
   job.may_have_run = true;
-  FailJob(s, now, job.id.seq, why, message, 0);
+  FailJob(s, now, job.id.seq, cause, message, 0);
 }
 
 std::string FailureText(const result_record& result) {
@@ -224,7 +225,8 @@
 }
 
 // Failure guarded against: an upstream that refuses everything at once would be
-// asked again a thousand times a second. It gets a pause, and others the task.
+// sent a thousand tasks a second. It is paused, and its task goes to another
+// worker.
 void HandleUpstreamRefusal(entry_state& s,
                            micros now,
                            worker_row& w,
@@ -288,10 +290,11 @@
   AnswerOffers(s, now, id, frame);
 }
 
-// Failure guarded against: a start crosses the goodbye of a sidecar that
-// drains, and the job would fail as "may have run" once its successor shows up.
-// A draining sidecar starts nothing any more, and says goodbye only when every
-// result is acknowledged: what is unresolved now never started.
+// Failure guarded against: a start crosses the shutdown notice of a draining
+// sidecar, and the job fails as "may have run" once the sidecar's successor
+// connects. A draining sidecar starts nothing new and sends the notice only
+// when every result is acknowledged, so a task that is still unresolved never
+// started.
 void HandleShutdownNotice(entry_state& s, micros now, worker_id id) {
   for (const task_ref& task : UnresolvedTasks(s.workers[id.value])) {
     s.workers[id.value].unresolved.erase(task);
@@ -341,7 +344,7 @@
     return;
   s.document = document;
   s.config = ReadConfig(parsed);
-  // Sidecars learn at once which version is known.
+  // Announces the new version to all sidecars at once.
   for (worker_row& w : s.workers)
     w.must_send = w.must_send || w.state == worker_link::up;
   s.actions.push_back(config_adopted{document});
@@ -349,12 +352,12 @@
 
 namespace {
 
-// Sidecars learn at once: they are the gate, and refuse what entries with older
-// news still send. Reports that are on their way say that they take work; what
-// they say from now on counts (TakeReports).
+// Notifies the sidecars at once, as they refuse what entries with an older
+// version still send. Reports already in transit may still say that a worker
+// takes work; only reports sent after that count (HandleReports).
 void ApplyClosedDomains(entry_state& s, bool changed) {
   if (changed) {
-    // What can't be served any more is refused in this tick.
+    // Jobs that can no longer be served are refused in this tick.
     s.leased.last_refusal = {};
     for (size_t i = 0; i < s.workers.size(); ++i) {
       worker_row& w = s.workers[i];
@@ -376,9 +379,10 @@
     ApplyClosedDomains(s, changed);
 }
 
-void HandleClosedDomainsReceived(entry_state& s, const closed_domains& told) {
+void HandleClosedDomainsReceived(entry_state& s,
+                                 const closed_domains& received) {
   const closed_domains_version before = s.closed_domains.known.version;
-  const bool changed = UpdateClosedDomainsFromPeer(s.closed_domains, told);
+  const bool changed = UpdateClosedDomainsFromPeer(s.closed_domains, received);
   if (s.closed_domains.known.version != before)
     ApplyClosedDomains(s, changed);
 }
@@ -402,8 +406,9 @@
     w.active_since = now;
 }
 
-// From when on the sidecar has owed a frame. A pair that was idle until just
-// now has not been silent for longer than that.
+// Silence is counted from the last frame received or from the start of
+// activity, whichever is later: while a pair is idle, its sidecar sends less
+// often.
 bool IsSilent(const entry_state& s, micros now, const worker_row& w) {
   const link_timing& timing = s.options.timing;
   if (w.state == worker_link::up && w.active_since.value == 0)
@@ -419,11 +424,11 @@
 
 }  // namespace
 
-// Failure guarded against: a stream that is open but silent, in one direction
-// or in both, and a sidecar that never comes back. The first shows as no
-// heartbeat, or as starts that it does not confirm, and is closed: the sidecar
-// dials anew. The second shows as a loss that outlasts the grace: its tasks'
-// jobs fail at once, saying that they may have run.
+// Failures guarded against: a stream that is open but silent in one direction
+// or both, and a sidecar that never comes back. The first is detected by
+// missing heartbeats or by starts that stay unconfirmed; the stream is closed,
+// and the sidecar dials again. The second is detected when the loss outlasts
+// the grace period; the jobs of its tasks then fail at once as "may have run".
 void CheckWorkers(entry_state& s, micros now) {
   for (size_t i = 0; i < s.workers.size(); ++i) {
     const worker_id id{static_cast<uint32_t>(i)};
@@ -460,10 +465,10 @@
   return it == s.upstreams.end() ? 0 : it->second.waiting_tasks;
 }
 
-// The backlog rides on every frame that is sent anyway, and costs no record
-// then. Failure guarded against: a worker that is held back (ejected, on
-// probation or slow) would be told of a backlog that it may not serve, and
-// offer its slots for nothing without end. It is told of none.
+// Attaches the backlog to a frame that is sent anyway, which costs no extra
+// record. Failure guarded against: a worker that is held back (ejected, on
+// probation or slow) is sent a backlog that it may not serve, and offers its
+// slots in vain again and again. It is sent kNoBacklog.
 void AttachBacklog(const entry_state& s,
                    micros now,
                    worker_row& w,
--- a/src/core/entry_systems.h
+++ b/src/core/entry_systems.h
@@ -1,4 +1,5 @@
-// The entry's systems, as its own files call them. Private to src/core.
+// Internal functions of the entry, shared by its source files. Private to
+// src/core.
 //
 // Contents
 //   [1] Jobs
@@ -20,30 +21,31 @@
 
 void SubmitJob(entry_state& s, micros now, job_submitted event);
 void RefuseInvalid(entry_state& s, micros now, job_invalid event);
-// False: of no job on the own interface.
+// False if the ticket belongs to no job of this kind (it may be a leased
+// job's).
 bool HandleCallerGone(entry_state& s, micros now, ticket_id ticket);
 void FailJob(entry_state& s,
              micros now,
              job_seq seq,
-             reason why,
+             reason cause,
              const std::string& message,
              int64_t retry_after_ms);
+// For a task that ran and that its upstream answered with 200.
 void FinishTask(entry_state& s,
                 micros now,
                 worker_id worker,
-                const result_record& result);  // ran, answered 200
+                const result_record& result);
 void CheckDeadlines(entry_state& s, micros now);
-void ApplyClaimDecisions(entry_state& s,
-                         micros now);  // acts on decisions of the claims
-void RequeueTask(entry_state& s,
-                 const task_ref& task,
-                 retry_reason why);  // provably not run: it waits again
+// Applies decisions on claims: their jobs start, are answered or fail.
+void ApplyClaimDecisions(entry_state& s, micros now);
+// Returns a task that provably did not run to the waiting ones.
+void RequeueTask(entry_state& s, const task_ref& task, retry_reason cause);
 job_row* FindJob(entry_state& s, job_seq seq);
 
 // ---- [2] Dispatch (entry_dispatch.cc) ---------------------------------------
 
-void QueueJob(entry_state& s,
-              job_row& job);  // stands in the waiting table, if tasks wait
+// Adds the job to the waiting table if any of its tasks wait.
+void QueueJob(entry_state& s, job_row& job);
 void UnqueueJob(entry_state& s, job_row& job);
 void CancelProbes(entry_state& s, job_row& job);
 void Dispatch(entry_state& s, micros now);
@@ -63,12 +65,13 @@
 void HandleSidecarFrame(entry_state& s,
                         micros now,
                         const sidecar_frame_received& event);
-// Takes a newer, valid configuration; an older or invalid one changes nothing.
+// Adopts a newer, valid configuration; an older or invalid one changes nothing.
 void AdoptConfig(entry_state& s, const config_document& document);
-// What operators have closed, as read where they write it, or as told by
+// Closed failure domains, as read from the operators' store or as received from
 // another process.
 void HandleClosedDomainsRead(entry_state& s, const closed_domains& read);
-void HandleClosedDomainsReceived(entry_state& s, const closed_domains& told);
+void HandleClosedDomainsReceived(entry_state& s,
+                                 const closed_domains& received);
 void HandleLinkLost(entry_state& s, micros now, link_id link);
 void CheckWorkers(entry_state& s, micros now);
 void FlushWorkers(entry_state& s, micros now);
@@ -80,12 +83,14 @@
                   worker_row& worker,
                   const job_row& job,
                   const result_record& result);
-bool AcceptsTasks(const worker_row& worker,
-                  micros now);  // linked, announced, not ejected
-bool HasCapacity(const worker_row& worker,
-                 micros now);  // takes tasks, and is below its limit
-uint32_t SlotLimit(const worker_row& worker);  // own tasks at once: fewer for a
-                                               // slow or unproven worker
+// Whether its stream is up, its upstream is ready, it is not ejected and its
+// domain is not closed.
+bool AcceptsTasks(const worker_row& worker, micros now);
+// Whether it accepts tasks and is below its slot limit.
+bool HasCapacity(const worker_row& worker, micros now);
+// Maximum number of this entry's tasks there at once; reduced for slow workers
+// and on probation.
+uint32_t SlotLimit(const worker_row& worker);
 void MeasureDrainRate(entry_state& s, micros now);
 
 // ---- [5] Leased jobs (leased_jobs.cc) ---------------------------------------
@@ -101,22 +106,24 @@
                        ticket_id ticket,
                        const std::string& id);
 void HandleStoreAnswer(entry_state& s, micros now, const store_answered& event);
-// A stopping entry has written its last word, or has no time left for it.
+// Whether a stopping entry has written all that it must store, or its time for
+// that is over.
 bool DurableJobsDrained(const entry_state& s, micros now);
 void StartDurableJobs(leased_state& s, const entry_options& options);
-// A new stream: `same_life` says whether the sidecar behind it is the one that
-// the worker's runs were ordered of.
+// Begins a new stream. `same_incarnation`: the sidecar is the process that the
+// worker's runs were ordered from.
 void StartLeaseStream(entry_state& s,
                       worker_id worker,
-                      bool same_life,
+                      bool same_incarnation,
                       entry_frame& frame);
-// Nothing is placed there until its next report says that it takes work.
+// Places nothing there until its next report says that it takes work.
 void SuspendPlacement(entry_state& s, worker_id worker);
-// Runs, or ends of them, of this entry are open there.
+// Whether runs of this entry, or ends of them, are open there.
 bool LeasesActive(const entry_state& s, worker_id worker);
-// Failure guarded against: starts go down with a stream that is dead in this
-// direction alone, while reports keep coming: it is not silent, and the jobs
-// would wait for their runs until their callers go.
+// Whether starts sent there have stayed unconfirmed for too long. Failure
+// guarded against: a stream is dead in this direction only while reports keep
+// arriving; it is not silent, and jobs wait for their runs until their callers
+// leave.
 bool StartsUnconfirmed(const entry_state& s, micros now, worker_id worker);
 void HandleReports(entry_state& s,
                    micros now,
