--- a/src/core/entry_jobs.cc
+++ b/src/core/entry_jobs.cc
@@ -17,8 +17,8 @@
 
 namespace {
 
-constexpr int64_t kRetrySoonMs =
-    1000;  // after a refusal that says nothing of the load
+// After a refusal that is unrelated to load.
+constexpr int64_t kRetrySoonMs = 1000;
 constexpr int64_t kMinRetryMs = 100;
 constexpr int64_t kMaxRetryMs = 30'000;
 
@@ -35,7 +35,7 @@
 
 // ---- [2] Answers ------------------------------------------------------------
 
-// Not run only if no task ran, none's fate is unknown and none is out.
+// Not run only if no task ran, no task's outcome is unknown and none is sent.
 verdict VerdictOf(const job_row& job) {
   const bool proven = !job.may_have_run && job.sent == 0 && job.done == 0;
   return proven ? verdict::not_run : verdict::may_have_run;
@@ -44,17 +44,17 @@
 void RecordFinishedJob(entry_state& s,
                        micros now,
                        const job_row& job,
-                       const failure& why,
-                       verdict what) {
+                       const failure& error,
+                       verdict run_verdict) {
   finished_job f;
   f.id = job.id;
   f.team = job.team;
   f.policy = job.policy.name;
   f.tasks = job.tasks.size();
   f.retries = job.retries;
-  f.cause = why.cause;
-  f.run_verdict = what;
-  f.message = why.message;
+  f.cause = error.cause;
+  f.run_verdict = run_verdict;
+  f.message = error.message;
   f.response_ms = ToMillis(now - job.arrival);
   s.finished.push_back(std::move(f));
   if (s.finished.size() > s.options.explain_history_size)
@@ -71,7 +71,7 @@
   p.ratio.Add(response_ms / std::max(1u, job.longest_run_ms));
 }
 
-// One record a worker, however many of the job's tasks are there.
+// One record per worker, however many of the job's tasks are there.
 void CancelSent(entry_state& s, job_row& job) {
   for (uint32_t i = 0; i < job.tasks.size(); ++i) {
     task_row& task = job.tasks[i];
@@ -87,7 +87,7 @@
   }
 }
 
-// Takes the job out of every table. Its tasks that are still out are cancelled.
+// Removes the job from every table and cancels its tasks that are still sent.
 void RemoveJob(entry_state& s, job_row& job) {
   const job_seq seq = job.id.seq;
   UnqueueJob(s, job);
@@ -116,13 +116,13 @@
           {"results", std::move(results)}};
 }
 
-nlohmann::json OutcomeJson(const job_id& id, const failure& why) {
+nlohmann::json OutcomeJson(const job_id& id, const failure& error) {
   return {{"job", ToText(id)},
           {"state", "failed"},
-          {"verdict", ToText(why.run_verdict)},
-          {"reason", ToText(why.cause)},
-          {"message", why.message},
-          {"retry_after_ms", why.retry_after_ms}};
+          {"verdict", ToText(error.run_verdict)},
+          {"reason", ToText(error.cause)},
+          {"message", error.message},
+          {"retry_after_ms", error.retry_after_ms}};
 }
 
 std::string Dump(const nlohmann::json& j) {
@@ -148,15 +148,15 @@
 void FailJob(entry_state& s,
              micros now,
              job_seq seq,
-             reason why,
+             reason cause,
              const std::string& message,
              int64_t retry_after_ms) {
   job_row* job = FindJob(s, seq);
   if (job == nullptr)
     return;
-  failure f{VerdictOf(*job), why, message, retry_after_ms};
+  failure f{VerdictOf(*job), cause, message, retry_after_ms};
   ++s.metrics.jobs_failed;
-  s.metrics.CountRefusal(why);
+  s.metrics.CountRefusal(cause);
   RecordFinishedJob(s, now, *job, f, f.run_verdict);
   if (!job->key.empty()) {
     if (job->claiming)
@@ -207,8 +207,9 @@
                                          static_cast<double>(kMaxRetryMs)));
 }
 
-// Tasks a second: as measured, or what the slots held now give if that is more.
-// The measured rate lags behind a burst that meets an idle system.
+// Tasks per second: the measured rate, or the rate that the tasks now sent
+// imply if that is higher. The measured rate lags when a burst meets an idle
+// system.
 double DrainPerSecond(const entry_state& s, const upstream_row& upstream) {
   if (upstream.mean_run_ms <= 0)
     return upstream.drain_per_s;
@@ -216,7 +217,7 @@
                   s.sent_tasks * 1000 / upstream.mean_run_ms);
 }
 
-// Time until so many tasks have been finished; 0: no rate is known.
+// Time until `tasks` tasks have finished; 0 if no rate is known.
 double DrainMs(const entry_state& s,
                const upstream_row& upstream,
                size_t tasks) {
@@ -224,8 +225,8 @@
   return rate < 1 ? 0 : static_cast<double>(tasks) * 1000 / rate;
 }
 
-failure Refuse(reason why, std::string message, int64_t retry_after_ms = 0) {
-  return {verdict::not_run, why, std::move(message), retry_after_ms};
+failure Refuse(reason cause, std::string message, int64_t retry_after_ms = 0) {
+  return {verdict::not_run, cause, std::move(message), retry_after_ms};
 }
 
 failure CheckNames(const entry_state& s, const job_request& r) {
@@ -290,9 +291,10 @@
   return {};
 }
 
-// Failure guarded against: under overload jobs wait, miss their deadline and
-// have cost a slot for nothing. A job that the drain rate says can't make it is
-// refused at once, and told when the queue ahead will have gone.
+// Failure guarded against: under overload, jobs wait, miss their deadlines and
+// waste the slots that they used. A job that can't meet its deadline at the
+// current drain rate is refused at once, with the time after which the queue is
+// short enough.
 failure CheckDeadline(const entry_state& s,
                       const job_row& job,
                       const upstream_row& upstream) {
@@ -345,8 +347,8 @@
 
 // ---- [4] Submission ---------------------------------------------------------
 
-// Comparisons split a team's jobs among policies; the first that names the
-// team, or no team, decides.
+// Comparisons split a team's jobs among policies; the first one for this team,
+// or for all teams, applies.
 std::string ChoosePolicy(entry_state& s, const std::string& team) {
   for (const auto& [name, comparison] : s.config.comparisons) {
     if (!comparison.team.empty() && comparison.team != team)
@@ -483,12 +485,12 @@
     CompleteJob(s, now, *job);
 }
 
-void RequeueTask(entry_state& s, const task_ref& ref, retry_reason why) {
+void RequeueTask(entry_state& s, const task_ref& ref, retry_reason cause) {
   job_row* job = FindJob(s, ref.job);
   if (job == nullptr || ref.index >= job->tasks.size() ||
       job->tasks[ref.index].state != task_state::sent)
     return;
-  s.metrics.CountRetry(why);
+  s.metrics.CountRetry(cause);
   UnqueueJob(s, *job);
   job->tasks[ref.index].state = task_state::waiting;
   job->waiting.push_back(ref.index);
@@ -525,8 +527,8 @@
 
 namespace {
 
-const char* ClaimMessage(reason why) {
-  switch (why) {
+const char* ClaimMessage(reason cause) {
+  switch (cause) {
     case reason::key_conflict:
       return "the key was used with another body";
     case reason::key_in_progress:
