--- a/src/core/entry_dispatch.cc
+++ b/src/core/entry_dispatch.cc
@@ -4,10 +4,10 @@
 //   [1] The waiting table
 //   [2] Sending a task
 //   [3] Workers to choose from
-//   [4] Pushing policies
+//   [4] Push policies
 //   [5] Batch sampling
 //   [6] Slot offers
-//   [7] Telling backlogs
+//   [7] Notifying sidecars of backlogs
 
 #include <algorithm>
 
@@ -47,7 +47,7 @@
   return it == s.config.teams.end() ? 1 : it->second.weight;
 }
 
-// Share of the slots that a team may hold while others want them too.
+// Share of the slots that a team may hold under contention.
 double ShareOf(const entry_state& s,
                const upstream_row& upstream,
                const std::string& team) {
@@ -60,14 +60,14 @@
 }
 
 struct head_job {
-  order_key order = kNoBacklog;  // with the team's penalty
+  order_key order = kNoBacklog;  // includes the team's penalty
   job_seq job;
 };
 
-constexpr int kMaxJobsScanned =
-    16;  // jobs of a team looked at for one that suits
+// Jobs of a team checked for one that suits.
+constexpr int kMaxJobsScanned = 16;
 
-// The first waiting job that suits, by order and its team's penalty.
+// The first waiting job for which `suits` is true, by order and team penalty.
 template <typename Suits>
 head_job FindFirstWaiting(const entry_state& s,
                           const upstream_row& upstream,
@@ -75,12 +75,12 @@
   head_job head;
   const bool shared = s.teams.size() > 1;
   for (const auto& [team, queue] : upstream.waiting) {
-    int looked_at = 0;
+    int scanned = 0;
     auto it = queue.begin();
     while (it != queue.end() && !suits(s.jobs.at(it->second)) &&
-           ++looked_at < kMaxJobsScanned)
+           ++scanned < kMaxJobsScanned)
       ++it;
-    if (it == queue.end() || looked_at == kMaxJobsScanned)
+    if (it == queue.end() || scanned == kMaxJobsScanned)
       continue;
     order_key order = it->first;
     if (shared) {
@@ -105,13 +105,13 @@
 }
 
 uint32_t FreeSlotsOf(const worker_row& w) {
-  const uint32_t unseen = UnseenStarts(w);
-  const uint32_t viewed =
-      w.load.free_slots > unseen ? w.load.free_slots - unseen : 0;
+  const uint32_t unseen_starts = UnseenStarts(w);
+  const uint32_t reported =
+      w.load.free_slots > unseen_starts ? w.load.free_slots - unseen_starts : 0;
   const uint32_t limit = SlotLimit(w);
   const auto in_flight = static_cast<uint32_t>(w.unresolved.size());
   const uint32_t below_limit = limit > in_flight ? limit - in_flight : 0;
-  return std::min(viewed + w.reserved, below_limit);
+  return std::min(reported + w.reserved, below_limit);
 }
 
 void SendTask(entry_state& s,
@@ -182,7 +182,7 @@
   return choices;
 }
 
-// ---- [4] Pushing policies ---------------------------------------------------
+// ---- [4] Push policies ------------------------------------------------------
 
 size_t PickWorker(entry_state& s,
                   const policy_config& policy,
@@ -225,22 +225,22 @@
 }
 
 size_t OutstandingProbes(const job_row& job) {
-  size_t out = 0;
+  size_t outstanding = 0;
   for (const auto& [worker, count] : job.probes)
-    out += count;
-  return out;
+    outstanding += count;
+  return outstanding;
 }
 
-// Probes are lost with a stream. A job with fewer probes out than tasks waiting
-// would starve, so the missing ones are sent again.
+// Probes are lost with a stream. A job with fewer outstanding probes than
+// waiting tasks would starve, so the missing ones are sent again.
 void ProbeJob(entry_state& s, micros now, job_row& job) {
-  const size_t out = OutstandingProbes(job);
-  if (out >= job.waiting.size())
+  const size_t outstanding = OutstandingProbes(job);
+  if (outstanding >= job.waiting.size())
     return;
   const double ratio = job.policy.probe_ratio;
   const auto wanted =
       static_cast<size_t>(static_cast<double>(job.waiting.size()) * ratio);
-  SendProbes(s, now, job, std::max(wanted, job.waiting.size()) - out);
+  SendProbes(s, now, job, std::max(wanted, job.waiting.size()) - outstanding);
 }
 
 void DeclineOffer(entry_state& s, worker_row& w) {
@@ -312,7 +312,8 @@
   return fitting;
 }
 
-// Slots that a sidecar holds for this entry go first: it waits for an answer.
+// Slots reserved for this entry are used first: their sidecar waits for an
+// answer.
 std::optional<worker_id> ChooseFree(entry_state& s,
                                     const std::vector<worker_choice>& fitting) {
   for (const worker_choice& choice : fitting) {
@@ -324,8 +325,9 @@
 }
 
 void SendNextTask(entry_state& s, micros now, job_row& job, worker_id worker) {
-  // A view may be stale. A small job's task is refused then and tried
-  // elsewhere; a large job's may as well wait there, which spares two records.
+  // The load report may be stale. A task of a small job is then refused and
+  // tried elsewhere; one of a large job may queue there, which saves two
+  // records.
   const bool may_queue = job.waiting.size() >= job.policy.queue_from;
   UnqueueJob(s, job);
   SendTask(s, now, job, worker, may_queue);
@@ -342,9 +344,8 @@
   std::erase_if(choices, [](const worker_choice& c) { return c.free == 0; });
 }
 
-// Sends the first waiting jobs' tasks while the view shows free slots. A job
-// that fits none of the free workers is passed over, so that it holds up no
-// other.
+// Sends tasks of the first waiting jobs while load reports show free slots. A
+// job that fits no free worker is skipped, so that it blocks no other.
 void ServeWaiting(entry_state& s,
                   micros now,
                   const std::string& name,
@@ -382,8 +383,8 @@
 
 }  // namespace
 
-// Late binding: the first sidecars with a slot get the tasks; the probes left
-// over are taken back.
+// Late binding: the first sidecars with a free slot get the tasks, and the
+// remaining probes are cancelled.
 void CancelProbes(entry_state& s, job_row& job) {
   for (const auto& [id, count] : job.probes) {
     worker_row& w = s.workers[id.value];
@@ -416,7 +417,7 @@
   ReturnUnusedOffers(s);
 }
 
-// ---- [7] Telling backlogs ---------------------------------------------------
+// ---- [7] Notifying sidecars of backlogs -------------------------------------
 
 order_key BacklogFor(const entry_state& s, micros now, const worker_row& w) {
   const auto it = s.upstreams.find(w.upstream.name);
@@ -440,17 +441,17 @@
   s.metrics.CountSent(record_kind::backlog);
 }
 
-// Sidecars that were told of a backlog which is gone would offer slots for
-// nothing: an offer and a decline each. One record spares both.
+// Sidecars that still assume a backlog would offer slots in vain, at the cost
+// of an offer and a decline each. One record saves both.
 void SendBacklogCleared(entry_state& s, micros now, worker_row& w) {
   if (w.backlog_sent != kNoBacklog && !w.must_send)
     SendBacklog(s, now, w, kNoBacklog);
 }
 
 struct backlog_survey {
-  size_t informed =
-      0;  // sidecars that believe in a backlog about as early as it is
-  std::vector<worker_id> uninformed;  // that don't
+  // Sidecars that know of a backlog about as early as the actual one.
+  size_t informed = 0;
+  std::vector<worker_id> uninformed;  // the other sidecars
 };
 
 backlog_survey SurveyBacklog(const entry_state& s,
@@ -459,20 +460,20 @@
                              const head_job& head,
                              int64_t margin) {
   const job_row& job = s.jobs.at(head.job);
-  backlog_survey t;
+  backlog_survey survey;
   for (size_t i = 0; i < s.workers.size(); ++i) {
     const worker_row& w = s.workers[i];
     if (!HasCapacity(w, now) || w.upstream.name != upstream || !Fits(w, job))
       continue;
-    const bool fresh =
+    const bool up_to_date =
         w.must_send || (w.backlog_sent != kNoBacklog &&
                         w.backlog_sent.value <= head.order.value + margin);
-    if (fresh)
-      ++t.informed;
+    if (up_to_date)
+      ++survey.informed;
     else
-      t.uninformed.push_back(worker_id{static_cast<uint32_t>(i)});
+      survey.uninformed.push_back(worker_id{static_cast<uint32_t>(i)});
   }
-  return t;
+  return survey;
 }
 
 void NotifyUpstream(entry_state& s,
@@ -487,25 +488,25 @@
     }
     return;
   }
-  // Most backlogs end within milliseconds, by own tasks that finish: those are
-  // not worth a record.
+  // Most backlogs clear within milliseconds as own tasks finish; these are not
+  // worth a record.
   const job_row& first = s.jobs.at(head.job);
   const policy_config& policy = first.policy;
   if (now - first.arrival < Millis(policy.tell_after_ms))
     return;
-  backlog_survey t =
+  backlog_survey survey =
       SurveyBacklog(s, now, name, head, policy.improve_ms * 1000);
-  const bool any_told =
+  const bool any_notified =
       std::any_of(s.workers.begin(), s.workers.end(), [&](const worker_row& w) {
         return w.backlog_sent != kNoBacklog && w.upstream.name == name;
       });
-  const size_t wanted = any_told ? policy.improve_fanout : policy.fanout;
-  std::shuffle(t.uninformed.begin(), t.uninformed.end(), s.random);
-  for (worker_id id : t.uninformed) {
-    if (t.informed >= wanted)
+  const size_t wanted = any_notified ? policy.improve_fanout : policy.fanout;
+  std::shuffle(survey.uninformed.begin(), survey.uninformed.end(), s.random);
+  for (worker_id id : survey.uninformed) {
+    if (survey.informed >= wanted)
       return;
     SendBacklog(s, now, s.workers[id.value], head.order);
-    ++t.informed;
+    ++survey.informed;
   }
 }
 
