--- a/src/core/entry.cc
+++ b/src/core/entry.cc
@@ -1,4 +1,4 @@
-// The entry's tick, and its views for operators.
+// The entry's tick, and its status views for operators.
 //
 // Contents
 //   [1] Events
@@ -76,12 +76,13 @@
 
 // ---- [2] Draining -----------------------------------------------------------
 
-// A planned stop cuts nothing: every job is answered and every outcome written
-// before the sidecars are told goodbye.
+// A planned stop interrupts nothing: every job is answered and every outcome
+// written before sidecars get the shutdown notice.
 //
-// Failure guarded against: the platform is down, and the outcome of a keyed job
-// can't be written. The stop would wait for ever; after the grace it goes on,
-// and a repeat of that job is told "may have run", as its owner is gone.
+// Failure guarded against: the platform is down, the outcome of a keyed job
+// can't be written, and the stop waits for ever. After the grace period it goes
+// on, and a repeat of that job is answered with "may have run", as its owner is
+// gone.
 void CheckDrained(entry_state& s, micros now) {
   if (!s.draining || s.drain_announced || !s.jobs.empty() ||
       !s.leased.jobs.empty() ||
@@ -138,11 +139,11 @@
   Dispatch(s, now);
   TickLeasedJobs(s, now);
   NotifyBacklogs(s, now);
-  const bool said_before = s.drain_announced;
+  const bool announced_before = s.drain_announced;
   CheckDrained(s, now);
   FlushWorkers(s, now);
   CollectClaimActions(s);
-  if (s.drain_announced && !said_before)
+  if (s.drain_announced && !announced_before)
     s.actions.push_back(entry_drained{});
   return std::move(s.actions);
 }
--- a/src/core/entry_health.cc
+++ b/src/core/entry_health.cc
@@ -1,5 +1,5 @@
 // Health of workers: ejection of those that fail everything, probation, fewer
-// tasks for slow ones, and the drain rate of each upstream.
+// tasks for slow ones; and the drain rate of each upstream.
 //
 // Contents
 //   [1] Failures
@@ -15,19 +15,19 @@
 
 namespace {
 
-constexpr double kDecay = 0.9;  // weight of the past, with each result
-constexpr double kMinFailures =
-    2.4;  // decayed; about three failed jobs in a row
+constexpr double kDecay = 0.9;  // applied to earlier results with each new one
+// Decayed; about three failed jobs in a row.
+constexpr double kMinFailures = 2.4;
 constexpr double kEjectRatio = 0.6;      // of a worker's recent results
 constexpr double kMaxOthersRatio = 0.3;  // the others must fail less than this
 constexpr int64_t kFirstEjectionMs = 5000;
 constexpr uint32_t kMaxDoublings = 4;
 constexpr uint32_t kProbationResults = 3;
 constexpr double kSpeedDecay = 0.98;
-constexpr double kMaxRunRatio =
-    4;  // of one result: a single long task is no slow worker
-constexpr uint32_t kMinSpeedSamples = 50;  // before a speed is believed
-constexpr double kSlowRatio = 1.8;  // at this ratio a worker counts as slow
+// Cap of one sample: a single long task doesn't make a worker slow.
+constexpr double kMaxRunRatio = 4;
+constexpr uint32_t kMinSpeedSamples = 50;  // before a speed is used
+constexpr double kSlowRatio = 1.8;  // above this ratio a worker counts as slow
 constexpr int64_t kDrainWindowMs = 250;
 constexpr double kDrainDecay = 0.8;
 
@@ -45,9 +45,9 @@
       });
 }
 
-// A job whose own tasks are at fault fails on every worker alike; a worker at
-// fault fails every job while the others do well. Only the latter is ejected,
-// and never more than half of an upstream's workers.
+// A faulty job fails on every worker; a faulty worker fails every job while the
+// others succeed. Only the latter is ejected, and never more than half of an
+// upstream's workers.
 bool IsAtFault(const entry_state& s, const worker_row& w, micros now) {
   const worker_health& h = w.health;
   if (h.failed < kMinFailures || h.failed < kEjectRatio * (h.ok + h.failed))
@@ -159,11 +159,11 @@
 
 void MeasureDrainRate(entry_state& s, micros now) {
   for (auto& [name, upstream] : s.upstreams) {
-    const micros passed = now - upstream.drain_updated;
-    if (passed < Millis(kDrainWindowMs))
+    const micros elapsed = now - upstream.drain_updated;
+    if (elapsed < Millis(kDrainWindowMs))
       continue;
     const double rate =
-        upstream.finished_in_window * 1e6 / static_cast<double>(passed.value);
+        upstream.finished_in_window * 1e6 / static_cast<double>(elapsed.value);
     upstream.drain_per_s =
         upstream.drain_per_s * kDrainDecay + rate * (1 - kDrainDecay);
     upstream.finished_in_window = 0;
