--- a/include/cassiaferry/entry.h
+++ b/include/cassiaferry/entry.h
@@ -1,7 +1,7 @@
-// Decisions of an entry: takes jobs, places their tasks, answers.
+// Core logic of an entry: accepts jobs, places their tasks, answers callers.
 //
-// Pure: no thread, clock or socket. Feed events to `Tick`, carry out the
-// actions that it returns.
+// Pure logic without threads, clocks or sockets: pass events to `Tick` and
+// carry out the actions that it returns.
 //
 // Contents
 //   [1] Options
@@ -43,17 +43,18 @@
   std::string name;  // from settings
   std::string failure_domain;
   std::string link_address;  // where sidecars dial this entry, "ip:port"
-  std::string http_address;  // where other entries ask it, "ip:port"
+  std::string http_address;  // where other entries query it, "ip:port"
   incarnation self;          // random, new with each process
   uint64_t seed = 1;         // of the random numbers used in decisions
   link_timing timing;        // of streams to sidecars
-  micros lost_grace =
-      Millis(5000);  // a lost sidecar's tasks are "may have run" after this
-  micros forget_worker =
-      Millis(60'000);  // a lost worker's row is reused after this
-  micros drain_grace = Millis(30'000);  // a stop waits so long for the platform
-  size_t explain_history_size =
-      4096;  // finished jobs remembered for `ctl explain`
+  // A lost sidecar's tasks are "may have run" after this.
+  micros lost_grace = Millis(5000);
+  // Not used: rows of lost workers are kept.
+  micros forget_worker = Millis(60'000);
+  // How long a stop waits for the platform.
+  micros drain_grace = Millis(30'000);
+  // Finished jobs kept for `ctl explain`.
+  size_t explain_history_size = 4096;
   leased_options leased;
 };
 
@@ -63,7 +64,8 @@
   std::string payload;
   uint32_t cores = 1;
   uint64_t memory_mb = 1;
-  int64_t expected_ms = 0;  // declared, often wrong: never relied on
+  // Declared by the caller; often wrong, so no decision relies on it.
+  int64_t expected_ms = 0;
 };
 
 struct job_request {
@@ -77,14 +79,14 @@
 
 // ---- [3] Events -------------------------------------------------------------
 
-using link_id = strong_id<struct link_tag,
-                          uint64_t>;  // one stream accepted by this process
+// One stream accepted by this process.
+using link_id = strong_id<struct link_tag, uint64_t>;
 
 struct job_submitted {
   ticket_id ticket;
   job_request request;
 };
-struct job_invalid {  // a body that could be read but not accepted
+struct job_invalid {  // a body that is readable but not acceptable
   ticket_id ticket;
   failure error;
 };
@@ -101,10 +103,10 @@
 struct config_received {
   config_document document;  // checked
 };
-struct closed_domains_read {  // by this entry, where operators write them
+struct closed_domains_read {  // by this entry, from the operators' store
   closed_domains closed_set;
 };
-struct closed_domains_received {  // by another entry
+struct closed_domains_received {  // sent by another entry
   closed_domains closed_set;
 };
 struct peers_changed {
@@ -155,7 +157,7 @@
   job_id job;
   failure error;
 };
-struct answer_repeated {  // a keyed job's outcome, again
+struct answer_repeated {  // the stored outcome of a keyed job
   ticket_id ticket;
   std::string outcome;  // JSON, as first answered
 };
@@ -166,18 +168,19 @@
 struct close_link {
   link_id link;
 };
-struct config_adopted {  // newer than before: to be told to peers
+struct config_adopted {  // newer than before; to be sent to peers
   config_document document;
 };
-struct closed_domains_adopted {  // newer than before: to be told to peers
+struct closed_domains_adopted {  // newer than before; to be sent to peers
   closed_domains closed_set;
-  bool changed = false;  // other domains than before
+  bool changed = false;  // the set of domains differs from the one before
 };
 struct entry_drained {};
 struct answer_cancelled {
   ticket_id ticket;
   bool known = false;
-  bool unavailable = false;  // the store doesn't answer: nothing is promised
+  // The store doesn't answer; whether it is cancelled is unknown.
+  bool unavailable = false;
 };
 
 using entry_action = std::variant<answer_complete,
@@ -212,32 +215,32 @@
   std::string team;
   std::string upstream;
   std::string key;  // empty: not keyed
-  policy_config
-      policy;  // a copy: a change of configuration leaves the job as it is
+  // Copied, so that a change of configuration doesn't affect the job.
+  policy_config policy;
   micros arrival{0};
   micros deadline{0};
   std::vector<task_row> tasks;
-  std::vector<uint32_t> waiting;  // indices, last is next
+  std::vector<uint32_t> waiting;  // indices of tasks; the last one is sent next
   uint32_t sent = 0;
   uint32_t done = 0;
   bool claiming = false;      // its key is not claimed yet: nothing may start
-  bool may_have_run = false;  // a task's fate is unknown, or it ran
-  bool queued = false;        // stands in the waiting table under `order`
+  bool may_have_run = false;  // a task ran, or its outcome is unknown
+  bool queued = false;        // is in the waiting table under `order`
   order_key order;
   std::map<worker_id, uint32_t> probes;  // batch_sampling: unanswered probes
   uint32_t longest_run_ms = 0;
   uint32_t retries = 0;
 };
 
-// How a worker behaves, from its results.
+// Health of a worker, estimated from its results.
 struct worker_health {
-  double ok = 0;                // recent results, decayed
-  double failed = 0;            // recent failures, one per job, decayed
-  job_seq last_failed_job;      // so that one bad job counts once
-  micros ejected_until{0};      // no work before this
-  uint32_t ejections = 0;       // in a row; each doubles the time out
-  uint32_t probation_left = 0;  // results to come before it is trusted again
-  double speed = 1;             // run time against the upstream's mean, decayed
+  double ok = 0;            // recent results, decayed
+  double failed = 0;        // recent failures, one per job, decayed
+  job_seq last_failed_job;  // so that one bad job counts once
+  micros ejected_until{0};  // no work before this
+  uint32_t ejections = 0;   // consecutive; each doubles the time of the next
+  uint32_t probation_left = 0;  // successes left until it is trusted again
+  double speed = 1;  // run time relative to the upstream's mean, decayed
   uint32_t speed_samples = 0;
 };
 
@@ -250,23 +253,24 @@
   worker_link state = worker_link::down;
   link_id link;
   link_epoch epoch;
-  uint64_t memory_token = 0;  // token of the sidecar's memory of this entry
+  uint64_t memory_token = 0;  // of the sidecar's state about this entry
   upstream_info upstream;
-  worker_load load;          // newest view
+  worker_load load;          // latest report
   uint32_t starts_sent = 0;  // on this stream
-  uint32_t reserved =
-      0;  // slots offered or granted, not yet used or given back
+  // Slots offered or granted, not yet used or returned.
+  uint32_t reserved = 0;
   std::set<task_ref> unresolved;  // sent, no result yet
   uint64_t acked_through = 0;
   micros last_received{0};
   micros last_sent{0};
-  micros active_since{0};  // the stream carries more than news; 0: it doesn't
+  // Since when tasks or leased runs are open there; 0: none are.
+  micros active_since{0};
   micros lost_since{0};
-  order_key backlog_sent =
-      kNoBacklog;             // backlog that the sidecar believes, absolute
-  config_version version;     // that the sidecar has
-  bool wants_config = false;  // that this entry has
-  closed_domains_version closed_version;       // that the sidecar has
+  // Newest backlog that the sidecar was sent, in absolute time.
+  order_key backlog_sent = kNoBacklog;
+  config_version version;     // newest that the sidecar has
+  bool wants_config = false;  // the sidecar requests this entry's configuration
+  closed_domains_version closed_version;       // newest that the sidecar has
   closed_domains_version closed_version_sent;  // on this stream
   bool closed = false;  // its failure domain is closed for new work
   worker_health health;
@@ -274,18 +278,19 @@
   bool must_send = false;
 };
 
-// Everything known of one upstream, across its workers.
+// State of one upstream, across its workers.
 struct upstream_row {
   double mean_run_ms = 0;  // decayed
   double ok = 0;           // recent results of all workers, decayed
   double failed = 0;
-  uint32_t max_cores = 0;  // of any worker ever seen; a job above can never run
+  // Maximum over all workers ever seen; a task that needs more can never run.
+  uint32_t max_cores = 0;
   uint64_t max_memory_mb = 0;
-  double drain_per_s = 0;  // tasks finished a second, decayed
+  double drain_per_s = 0;  // tasks finished per second, decayed
   micros drain_updated{0};
   uint32_t finished_in_window = 0;
-  std::map<std::string, std::set<std::pair<order_key, job_seq>>>
-      waiting;  // by team, in order
+  // By team, in order.
+  std::map<std::string, std::set<std::pair<order_key, job_seq>>> waiting;
   uint32_t waiting_tasks = 0;
 };
 
@@ -294,7 +299,7 @@
   uint32_t sent_tasks = 0;
 };
 
-// What `ctl explain` tells of a finished job.
+// Summary of a finished job for `ctl explain`.
 struct finished_job {
   job_id id;
   std::string team;
@@ -325,7 +330,8 @@
   std::unordered_map<job_seq, job_row> jobs;
   std::unordered_map<ticket_id, job_seq> tickets;
   std::set<std::pair<micros, job_seq>> deadlines;
-  std::set<job_seq> unplaced;       // of pushing policies, with waiting tasks
+  // Jobs with waiting tasks, of all policies but slot_offer.
+  std::set<job_seq> unplaced;
   std::vector<worker_row> workers;  // by worker_id
   std::unordered_map<std::string, worker_id> worker_names;
   std::unordered_map<link_id, worker_id> links;
@@ -345,8 +351,8 @@
 
 entry_state MakeEntry(entry_options options);
 
-// Takes all events that have queued up, decides, and returns what to do.
-// `now` never goes back. Call at least every 50 ms.
+// Processes all queued events and returns the actions to carry out. `now` must
+// not decrease. Call at least every 50 ms.
 std::vector<entry_action> Tick(entry_state& s,
                                micros now,
                                std::vector<entry_event> events);
@@ -354,13 +360,12 @@
 bool IsReady(const entry_state& s);  // has a configuration and is not draining
 
 nlohmann::json StatusOf(const entry_state& s, micros now);
-// How far a leased job has come; null: not known here.
+// Progress of a leased job; null if this entry doesn't know it.
 nlohmann::json ExplainLeasedJob(const entry_state& s,
                                 micros now,
                                 const std::string& id);
-nlohmann::json ExplainJob(const entry_state& s,
-                          micros now,
-                          const job_id& id);  // null: not known here
+// Null if this entry doesn't know the job.
+nlohmann::json ExplainJob(const entry_state& s, micros now, const job_id& id);
 
 }  // namespace cassiaferry
 
