--- a/include/cassiaferry/ids.h
+++ b/include/cassiaferry/ids.h
@@ -26,21 +26,20 @@
   auto operator<=>(const strong_id&) const = default;
 };
 
-using incarnation = strong_id<struct incarnation_tag,
-                              uint64_t>;  // random, one per process start
-using link_epoch =
-    strong_id<struct epoch_tag, uint64_t>;  // grows with each stream of a pair
-using job_seq = strong_id<struct job_seq_tag,
-                          uint64_t>;  // unique within an entry incarnation
-using worker_id = strong_id<struct worker_tag,
-                            uint32_t>;  // index into an entry's worker table
-using entry_id = strong_id<struct entry_tag,
-                           uint32_t>;  // index into a sidecar's entry table
-using ticket_id = strong_id<struct ticket_tag,
-                            uint64_t>;  // one caller's request inside an entry
-using config_version =
-    strong_id<struct config_tag,
-              uint64_t>;  // grows with each accepted change; 0: none
+// Random, one per process start.
+using incarnation = strong_id<struct incarnation_tag, uint64_t>;
+// Grows with each stream between an entry and a sidecar.
+using link_epoch = strong_id<struct epoch_tag, uint64_t>;
+// Unique within an entry incarnation.
+using job_seq = strong_id<struct job_seq_tag, uint64_t>;
+// Index into an entry's worker table.
+using worker_id = strong_id<struct worker_tag, uint32_t>;
+// Index into a sidecar's entry table.
+using entry_id = strong_id<struct entry_tag, uint32_t>;
+// One caller's request inside an entry.
+using ticket_id = strong_id<struct ticket_tag, uint64_t>;
+// Grows with each accepted change; 0: none.
+using config_version = strong_id<struct config_tag, uint64_t>;
 
 // Names one task within the stream of one entry incarnation.
 struct task_ref {
@@ -58,10 +57,9 @@
 
 // ---- [2] Time ---------------------------------------------------------------
 
-// Core code never reads a clock: every tick is told the time.
-using micros =
-    strong_id<struct micros_tag,
-              int64_t>;  // microseconds on the process's monotonic clock
+// Core code never reads a clock: the time is passed to every tick.
+// Microseconds on the process's monotonic clock.
+using micros = strong_id<struct micros_tag, int64_t>;
 
 constexpr micros Millis(int64_t ms) {
   return micros{ms * 1000};
@@ -78,10 +76,10 @@
 
 // ---- [3] Text forms ---------------------------------------------------------
 
-std::string ToText(
-    const job_id& id);  // "00ab..-12": incarnation in hex, sequence
-std::optional<job_id> ParseJobId(
-    std::string_view text);         // empty: not the form that ToText writes
+// "00ab..-12": incarnation in hex, sequence.
+std::string ToText(const job_id& id);
+// Empty if `text` is not in the form that ToText writes.
+std::optional<job_id> ParseJobId(std::string_view text);
 std::string ToHex(uint64_t value);  // 16 digits
 
 }  // namespace cassiaferry
--- a/include/cassiaferry/messages.h
+++ b/include/cassiaferry/messages.h
@@ -26,11 +26,11 @@
 
 // ---- [1] Shared records -----------------------------------------------------
 
-// A configuration document with its version. Spread in both directions.
+// A configuration document with its version. Sent in both directions.
 struct config_document {
   config_version version;
-  std::string
-      change_id;       // names the change, so that a lost reply can be resolved
+  // Identifies the change, so that a lost reply can be resolved.
+  std::string change_id;
   std::string author;  // who applied it
   std::string json;    // merged document
 };
@@ -58,28 +58,30 @@
 // First frame of a stream.
 struct entry_hello {
   incarnation entry;
-  std::string address;               // where to dial this entry, "ip:port"
-  std::vector<task_ref> unresolved;  // tasks whose fate the sidecar must tell
+  std::string address;  // where to dial this entry, "ip:port"
+  // Tasks whose outcome the sidecar must report.
+  std::vector<task_ref> unresolved;
 };
 
 struct entry_frame {
   link_epoch epoch;
   std::optional<entry_hello> hello;
   std::vector<start_record> starts;
-  std::vector<job_seq>
-      cancels;  // drop or stop every task of the job; no result is wanted
+  // Jobs whose tasks are to be dropped or stopped; no results are wanted.
+  std::vector<job_seq> cancels;
   std::vector<probe_record> probes;
   std::vector<job_seq> probe_cancels;
   std::optional<order_key> backlog;  // relative to now; kNoBacklog: none
-  uint32_t backlog_tasks = 0;        // that wait: more slots are not wanted
-  uint32_t declines = 0;             // offers given back unused
-  uint64_t acked_through = 0;    // results up to this number may be forgotten
+  uint32_t backlog_tasks = 0;  // waiting tasks; more slots need not be offered
+  uint32_t declines = 0;       // offers returned unused
+  uint64_t acked_through = 0;  // results up to this number may be discarded
   bool shutdown_notice = false;  // the entry stops and has nothing unresolved
-  std::vector<std::string>
-      peers;               // addresses of entries to dial, with each heartbeat
+  // Addresses of entries to dial: in the first frame, and on change.
+  std::vector<std::string> peers;
   config_version version;  // newest configuration known
   std::optional<config_document> config;
-  closed_domains_version closed_version;  // newest state of the closings known
+  // Newest version of the closed domains known.
+  closed_domains_version closed_version;
   std::optional<closed_domains> closed_set;
   std::optional<lease_orders> orders;  // of leased runs
 };
@@ -89,10 +91,10 @@
 enum class upstream_state : uint8_t {
   absent,   // nothing announced
   ready,    // announced within the last three seconds
-  leaving,  // said goodbye, or missed three announcements
+  leaving,  // announced that it leaves, or missed three announcements
 };
 
-// What an upstream declared of itself.
+// What an upstream announces about itself.
 struct upstream_info {
   std::string name;     // of the upstream, as jobs name it
   std::string address;  // "ip:port"
@@ -118,8 +120,8 @@
   task_outcome outcome = task_outcome::never_started;
 };
 
-// The answer to an entry's hello. `memory` differs from the one that the entry
-// has seen before if the sidecar has forgotten anything of this entry.
+// Reply to an entry's hello. `memory_token` differs from the one that the entry
+// has seen before if the sidecar has discarded any state of this entry.
 struct reconcile_reply {
   uint64_t memory_token = 0;
   std::vector<reconcile_record> tasks;
@@ -128,12 +130,12 @@
 struct result_record {
   uint64_t number = 0;  // grows per entry; acknowledged cumulatively
   task_ref task;
-  verdict run_verdict = verdict::ran;  // not_run: a proven refusal; may have
-                                       // run: the exchange broke
-  bool ok = false;                     // ran, and the upstream answered 200
-  uint32_t run_ms = 0;                 // time on the upstream
-  uint32_t queue_ms = 0;               // time queued in the sidecar
-  std::string output;                  // the answer, or the failure's text
+  // not_run: refused with proof; may_have_run: the exchange broke off.
+  verdict run_verdict = verdict::ran;
+  bool ok = false;        // ran, and the upstream answered 200
+  uint32_t run_ms = 0;    // time on the upstream
+  uint32_t queue_ms = 0;  // time queued in the sidecar
+  std::string output;     // the answer, or the failure's text
 };
 
 struct reject_record {
@@ -150,8 +152,8 @@
   upstream_state state = upstream_state::absent;
   uint32_t free_slots = 0;
   uint32_t queued = 0;
-  uint32_t starts_seen =
-      0;  // starts of this entry taken up to now, modulo 2^32
+  // Starts received from this entry so far, modulo 2^32.
+  uint32_t starts_seen = 0;
 };
 
 struct sidecar_frame {
@@ -162,15 +164,17 @@
   std::vector<result_record> results;
   std::vector<reject_record> rejects;
   std::vector<offer_record> offers;
-  uint32_t granted =
-      0;  // slots that results of this frame free, kept for this entry
+  // Slots freed by results of this frame and reserved for this entry.
+  uint32_t granted = 0;
   worker_load load;
-  bool shutdown_notice =
-      false;  // the sidecar stops; nothing of this entry is left on it
+  // The sidecar stops, and nothing of this entry is left on it.
+  bool shutdown_notice = false;
   config_version version;
   std::optional<config_document> config;
-  bool wants_config = false;  // the entry's is newer: it is to send it
-  closed_domains_version closed_version;  // newest state of the closings known
+  // Requests the entry's configuration, which is newer.
+  bool wants_config = false;
+  // Newest version of the closed domains known.
+  closed_domains_version closed_version;
   std::optional<closed_domains> closed_set;
   std::optional<lease_reports> reports;  // of leased runs
 };
@@ -196,10 +200,11 @@
 
 // ---- [5] Size on the wire ---------------------------------------------------
 
-// About how many bytes a frame takes on a link, headers of all layers included.
+// Approximate size of a frame on a link, headers of all layers included.
 size_t FrameBytes(const entry_frame& frame);
 size_t FrameBytes(const sidecar_frame& frame);
-// Of one more copy of a job's payload, beside the bytes of the payload itself.
+// Overhead of one more copy of a job's payload, in addition to the bytes of the
+// payload itself.
 constexpr size_t kPayloadCopyBytes = 24;
 
 }  // namespace cassiaferry
--- a/include/cassiaferry/verdict.h
+++ b/include/cassiaferry/verdict.h
@@ -1,4 +1,4 @@
-// What may be said of a request that did not succeed, and why it failed.
+// Whether a failed request may have run, and the reason of the failure.
 //
 // Contents
 //   [1] Verdict
@@ -24,9 +24,9 @@
 };
 
 const char* ToText(verdict v);
-verdict WeakerVerdict(
-    verdict a,
-    verdict b);  // the one that promises less: not_run only if both are
+// The weaker of two verdicts: two equal ones stay, two different ones give
+// may_have_run.
+verdict WeakerVerdict(verdict a, verdict b);
 
 // ---- [2] Reasons ------------------------------------------------------------
 
@@ -41,15 +41,16 @@
   unknown_upstream,  // 404
   key_conflict,      // 409  same key, another body
   key_in_progress,   // 409  same key, still running
-  key_owner_lost,   // 409  same key, its owner is gone with the outcome unknown
-  config_conflict,  // 409  the configuration changed since the version named
+  key_owner_lost,   // 409  same key, its owner is lost with the outcome unknown
+  config_conflict,  // 409  the configuration changed since the named version
   too_large,        // 413  body, payload or task count above the limit
-  never_runnable,   // 422  no worker that was ever known could hold a task
+  never_runnable,   // 422  a task needs more than any worker ever seen has
   team_quota,       // 429  the team's waiting tasks are at its limit
   queue_full,       // 429  the entry's waiting tasks are at its limit
-  deadline_unreachable,  // 429  the drain rate says the deadline can't be met
+  deadline_unreachable,  // 429  at the current drain rate the deadline can't be
+                         // met
   task_failed,           // 502  an upstream answered a task with a failure
-  worker_lost,  // 502  a worker or its sidecar vanished with a task unresolved
+  worker_lost,  // 502  a worker or its sidecar was lost with a task unresolved
   no_worker,    // 503  no worker takes new work for the upstream now
   draining,     // 503  this entry is stopping
   starting,     // 503  this entry has no configuration yet
@@ -59,7 +60,7 @@
   cancelled,             // 499  the caller closed its connection
   unauthorized,          // 401
   forbidden,             // 403
-  not_supported,         // 501  asks for what this version does not do
+  not_supported,  // 501  the request needs a feature that this version lacks
   count_,
 };
 
@@ -75,7 +76,7 @@
 struct failure {
   verdict run_verdict = verdict::not_run;
   reason cause = reason::none;
-  std::string message;         // one sentence, for a person
+  std::string message;         // one sentence for a human reader
   int64_t retry_after_ms = 0;  // 0: a retry makes no sense or needs no wait
 };
 
