--- a/include/cassiaferry/config.h
+++ b/include/cassiaferry/config.h
@@ -22,10 +22,10 @@
 
 // ---- [1] Checking JSON ------------------------------------------------------
 
-// One thing wrong with a document.
+// An error in a document.
 struct config_error {
   std::string path;     // JSON pointer, "/policies/fast/kind"
-  std::string message;  // what is wrong and what would be right
+  std::string message;  // what is wrong and what is expected
 };
 
 enum class field_kind : uint8_t {
@@ -37,7 +37,7 @@
   array
 };
 
-// What one member of an object may be. `low` and `high` bound numbers, and the
+// Rule for one member of an object. `low` and `high` bound numbers, and the
 // length of texts and arrays.
 struct field_rule {
   const char* name;
@@ -73,27 +73,30 @@
 };
 enum class job_order : uint8_t { first_come, fewest_remaining };
 
-// Members from `fanout` on are of slot_offer alone.
+// Members from `fanout` on apply to slot_offer only.
 struct policy_config {
   std::string name;
   policy_kind kind = policy_kind::slot_offer;
   job_order order = job_order::fewest_remaining;
-  int64_t ageing_ms = 500;       // weight of a waiting task, as later arrival
-  int64_t ageing_cap_ms = 8000;  // weight of all waiting tasks, at most
+  // Each waiting task counts as so much later an arrival.
+  int64_t ageing_ms = 500;
+  int64_t ageing_cap_ms = 8000;  // ... up to this much for all of them
   uint32_t choices = 2;          // two_choices: workers sampled for each task
   double probe_ratio = 2;        // batch_sampling: probes for each task
-  uint32_t fanout = 2;           // sidecars told of a new backlog
-  uint32_t improve_fanout = 1;   // sidecars told that an earlier job waits
-  int64_t improve_ms = 200;      // how much earlier it must be to tell
-  int64_t tell_after_ms = 10;    // wait of a job before any is told
-  uint32_t queue_from = 3;       // waiting tasks of a job that may queue there
+  uint32_t fanout = 2;           // sidecars notified of a new backlog
+  uint32_t improve_fanout = 1;   // sidecars notified that an earlier job waits
+  int64_t improve_ms = 200;      // how much earlier it must be for that
+  // How long a job waits before a sidecar is notified.
+  int64_t tell_after_ms = 10;
+  // With so many waiting tasks, a job's tasks may queue at sidecars.
+  uint32_t queue_from = 3;
 };
 
 struct team_config {
   std::string name;
-  double weight = 1;  // share of slots when slots are short
-  uint32_t max_waiting_tasks =
-      5000;  // in one entry; more is refused as team_quota
+  double weight = 1;  // relative share of slots under contention
+  // In one entry; above this, jobs are refused as team_quota.
+  uint32_t max_waiting_tasks = 5000;
 };
 
 struct upstream_config {
@@ -105,12 +108,13 @@
 struct queue_config {
   std::string name;
   std::string host;
-  std::string path_prefix;     // "/bookings/"; the longest that matches counts
-  std::string upstream;        // whose workers run its tasks
-  int64_t priority = 0;        // 0 comes first
-  uint32_t max_attempts = 3;   // failed runs of a task before its job fails
-  double stretch = 2;          // of a job's own work: answered within this, ...
-  int64_t allowance_ms = 100;  // ... plus this, it is on time
+  std::string path_prefix;    // "/bookings/"; the longest match applies
+  std::string upstream;       // whose workers run its tasks
+  int64_t priority = 0;       // 0 comes first
+  uint32_t max_attempts = 3;  // failed runs of a task before its job fails
+  // A job is on time if answered within this multiple of its own work.
+  double stretch = 2;
+  int64_t allowance_ms = 100;  // ... plus this
 };
 
 // Splits jobs among policies, so that two can be compared on live traffic.
@@ -125,8 +129,9 @@
   uint32_t max_payload_bytes = 65'536;  // of one task
   uint32_t max_waiting_tasks = 20'000;  // in one entry
   int64_t max_deadline_ms = 120'000;
-  int64_t default_deadline_ms = 30'000;  // where a job names none
-  int64_t keep_outcome_ms = 600'000;     // of a keyed job, for repeats
+  int64_t default_deadline_ms = 30'000;  // for jobs that set none
+  // How long a keyed job's outcome is kept for repeats.
+  int64_t keep_outcome_ms = 600'000;
 };
 
 struct configuration {
@@ -144,16 +149,15 @@
 
 // ---- [3] Reading and merging ------------------------------------------------
 
-// Checks form (members, types, ranges), and for a whole document references
-// too.
+// Checks members, types and ranges, and in a whole document references too.
 enum class check_scope : uint8_t { one_file, whole };
 std::vector<config_error> CheckConfig(const nlohmann::json& document,
                                       check_scope scope);
 
-// Requires a document in which CheckConfig finds nothing.
+// `document` must have passed CheckConfig as a whole document.
 configuration ReadConfig(const nlohmann::json& document);
 
-// The queue that a request's host and path name; null: there is none.
+// The queue that matches a request's host and path; null if none does.
 const queue_config* MatchQueue(const configuration& config,
                                std::string_view host,
                                std::string_view path);
@@ -169,7 +173,8 @@
   std::vector<std::string> errors;  // each names file and path
 };
 
-// Merges in the order of names (JSON merge patch) and checks all.
+// Merges the files in the order of their names (JSON merge patch). Checks each
+// file and the result.
 merged_config MergeConfig(std::vector<config_file> files);
 
 }  // namespace cassiaferry
--- a/include/cassiaferry/metrics.h
+++ b/include/cassiaferry/metrics.h
@@ -1,4 +1,4 @@
-// Counters and distributions that every process keeps.
+// Counters and distributions of a process.
 //
 // Contents
 //   [1] Counters
@@ -21,7 +21,7 @@
 
 // ---- [1] Counters -----------------------------------------------------------
 
-// Why a task was sent again, or a record was thrown away.
+// Why a task was sent again, or a record was dropped.
 enum class retry_reason : uint8_t {
   slot_taken,       // the sidecar had no free slot when the start arrived
   queue_timeout,    // dropped from a sidecar's queue by its ttl
@@ -36,12 +36,12 @@
 const char* ToText(retry_reason r);
 
 struct counters {
-  std::array<uint64_t, static_cast<size_t>(reason::count_)>
-      refused{};  // by reason
-  std::array<uint64_t, static_cast<size_t>(retry_reason::count_)>
-      retried{};  // by reason
-  std::array<uint64_t, static_cast<size_t>(record_kind::count_)>
-      records{};  // sent, by kind
+  // By reason.
+  std::array<uint64_t, static_cast<size_t>(reason::count_)> refused{};
+  // By reason.
+  std::array<uint64_t, static_cast<size_t>(retry_reason::count_)> retried{};
+  // Sent, by kind.
+  std::array<uint64_t, static_cast<size_t>(record_kind::count_)> records{};
   uint64_t jobs_received = 0;
   uint64_t jobs_complete = 0;
   uint64_t jobs_failed = 0;
@@ -59,8 +59,8 @@
 
 // ---- [2] Distributions ------------------------------------------------------
 
-// Streaming mean and quantiles (Boost.Accumulators, extended P-square):
-// constant memory, no samples kept. Estimates; the load tool keeps exact
+// Streaming estimates of mean and quantiles (Boost.Accumulators, extended
+// P-square) in constant memory: no samples are kept. The load tool keeps exact
 // samples instead.
 class distribution {
  public:
@@ -72,37 +72,39 @@
   void Add(double value);
   uint64_t Count() const;
   double Mean() const;
-  double Quantile(
-      double q) const;  // q one of 0.5, 0.95, 0.99; NaN: too few values yet
+  // `q` is one of 0.5, 0.95 and 0.99. NaN if there are too few values yet.
+  double Quantile(double q) const;
 
  private:
   struct impl;
   std::unique_ptr<impl> impl_;
 };
 
-// Latencies in fixed buckets, so that those of several processes add up.
+// Latencies in fixed buckets, so that histograms of several processes can be
+// summed.
 struct latency_histogram {
   static constexpr std::array<int64_t, 11> kBoundsMs = {
       5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000, 10'000};
-  std::array<uint64_t, kBoundsMs.size() + 1>
-      counts{};  // last: above all bounds
+  // Last: above all bounds.
+  std::array<uint64_t, kBoundsMs.size() + 1> counts{};
   int64_t sum_ms = 0;
 
   void Add(int64_t ms);
 };
 
-// What is kept of each policy, so that two of them can be compared live.
+// Metrics of one policy, so that two policies can be compared on live traffic.
 struct policy_metrics {
   uint64_t jobs = 0;
   uint64_t complete = 0;
   uint64_t tasks = 0;
   distribution response_ms;
   distribution queue_ms;  // from arrival of the job to the start of a task
-  distribution ratio;     // response against the longest task alone
+  // Response time divided by the run time of the longest task.
+  distribution ratio;
 };
 
-using policy_metrics_table =
-    std::map<std::string, policy_metrics>;  // by policy name
+// By policy name.
+using policy_metrics_table = std::map<std::string, policy_metrics>;
 
 // ---- [3] Prometheus text ----------------------------------------------------
 
--- a/include/cassiaferry/policy.h
+++ b/include/cassiaferry/policy.h
@@ -1,7 +1,7 @@
 // Dispatch policies: free functions over plain structs.
 //
 // Contents
-//   [1] What a policy sees
+//   [1] Inputs of a policy
 //   [2] Choosing workers
 //   [3] Ordering jobs
 
@@ -18,16 +18,16 @@
 
 namespace cassiaferry {
 
-// ---- [1] What a policy sees -------------------------------------------------
+// ---- [1] Inputs of a policy -------------------------------------------------
 
 // One worker that may take a task now.
 struct worker_choice {
   worker_id id;
   uint32_t slots = 0;
-  uint32_t free = 0;  // free slots by the newest view, less what was sent since
-  uint32_t load =
-      0;  // own tasks in flight there, plus its queue by the newest view
-  double speed = 1;  // 1: as fast as the others; 2: takes twice as long
+  uint32_t free = 0;  // free slots in the latest report, less tasks sent since
+  // Tasks of this entry in flight there, plus its queue in the latest report.
+  uint32_t load = 0;
+  double speed = 1;  // run time relative to the others; 2: takes twice as long
 };
 
 using random_source = std::mt19937_64;
@@ -48,7 +48,8 @@
 std::optional<size_t> PickFreest(const std::vector<worker_choice>& workers,
                                  random_source& random);
 
-// `count` draws without repetition while it lasts, then from the start again.
+// Draws `count` workers without repetition; when all have been drawn, starts
+// over.
 std::vector<size_t> PickProbes(const std::vector<worker_choice>& workers,
                                size_t count,
                                random_source& random);
@@ -57,12 +58,12 @@
 
 // Key of a job with `waiting` tasks not yet started; lower is served first.
 // With fewest_remaining each waiting task weighs as much as `ageing_ms` of
-// later arrival: small jobs pass large ones, but none waits for ever. The key
-// does not change with time, so a sorted set stays sorted.
+// later arrival: small jobs overtake large ones, but none starves. The key does
+// not change with time, so a sorted set stays sorted.
 order_key JobOrder(const policy_config& policy, micros arrival, size_t waiting);
 
-// Pushes back teams that hold more than their weighted share of the slots in
-// use. `used` and `total` count tasks in flight; `share` is 0 to 1.
+// Penalty on the order of a team that holds more than its weighted share of the
+// slots in use. `used` and `total` count tasks in flight; `share` is 0 to 1.
 int64_t TeamPenalty(uint32_t used, uint32_t total, double share);
 
 }  // namespace cassiaferry
--- a/src/core/config.cc
+++ b/src/core/config.cc
@@ -55,20 +55,20 @@
                 const std::string& path,
                 std::vector<config_error>& errors) {
   double measure = 0;
-  std::string what = "value";
+  std::string subject = "value";
   if (rule.kind == field_kind::integer || rule.kind == field_kind::number) {
     measure = value.get<double>();
   } else if (rule.kind == field_kind::text) {
     measure = static_cast<double>(value.get_ref<const std::string&>().size());
-    what = "length";
+    subject = "length";
   } else if (rule.kind == field_kind::array) {
     measure = static_cast<double>(value.size());
-    what = "length";
+    subject = "length";
   } else {
     return;
   }
   if (measure < rule.low || measure > rule.high)
-    errors.push_back({path, what + " must be from " + NumberText(rule.low) +
+    errors.push_back({path, subject + " must be from " + NumberText(rule.low) +
                                 " to " + NumberText(rule.high)});
 }
 
@@ -226,7 +226,7 @@
 }
 
 // Calls check(value, path) on each member of the named section. In one file a
-// member may be null: a merge patch removes it.
+// member may be null: the merge patch then removes it.
 template <typename Check>
 void ForEachMember(const json& document,
                    const char* section,
@@ -343,7 +343,7 @@
   return q;
 }
 
-// Longest prefix first, so that the first that matches is the one that counts.
+// Longest prefix first, so that the first match is the longest.
 std::vector<queue_config> ReadQueues(const json& document) {
   std::vector<queue_config> queues;
   if (!document.contains("queues"))
@@ -446,7 +446,7 @@
 
 namespace {
 
-// Last file that says something at the path or above it, for the error's sake.
+// Last file that sets the path or a parent of it, for the error message.
 std::string FindSourceFile(
     const std::vector<std::pair<std::string, json>>& files,
     std::string path) {
--- a/src/core/metrics.cc
+++ b/src/core/metrics.cc
@@ -21,7 +21,7 @@
 
 const std::vector<double> kQuantiles = {0.5, 0.95, 0.99};
 
-// P-square estimates mean nothing before their markers have spread out.
+// P-square estimates are meaningless until their markers have spread out.
 constexpr uint64_t kQuantileSamples = 20;
 
 using accumulator =
--- a/src/core/policy.cc
+++ b/src/core/policy.cc
@@ -9,7 +9,8 @@
 
 namespace {
 
-// A team at twice its share waits behind jobs that came this much later.
+// A team that exceeds its share of the slots in use by 0.1 is ordered as if its
+// jobs had arrived 6 s later.
 constexpr double kPenaltyMicros = 60e6;
 
 size_t RandomBelow(size_t bound, random_source& random) {
