--- a/tests/core_harness.cc
+++ b/tests/core_harness.cc
@@ -1,4 +1,4 @@
-// Decisions driven by hand, on virtual time.
+// Entry and sidecar logic, run by hand on virtual time.
 
 #include "core_harness.h"
 
@@ -12,12 +12,12 @@
 constexpr int64_t kStepMs = 5;
 constexpr uint64_t kMemoryMb = 64'000;
 
-sidecar_options SidecarOptions(int i, uint64_t life) {
+sidecar_options SidecarOptions(int i, uint64_t number) {
   sidecar_options o;
   o.name = "sidecar-" + std::to_string(i);
   o.failure_domain = "a";
-  o.self = incarnation{life};
-  o.seed = life;
+  o.self = incarnation{number};
+  o.seed = number;
   o.seeds = {kEntryAddress};
   return o;
 }
--- a/tests/core_harness.h
+++ b/tests/core_harness.h
@@ -1,4 +1,4 @@
-// An entry and a sidecar's decisions driven by hand, on virtual time.
+// Harness that runs an entry and sidecars by hand on virtual time.
 
 #ifndef CASSIAFERRY_TESTS_CORE_HARNESS_H_
 #define CASSIAFERRY_TESTS_CORE_HARNESS_H_
@@ -27,36 +27,39 @@
 config_document MakeConfig(uint64_t version, const std::string& kind);
 job_request MakeRequest(size_t tasks, const std::string& key = "");
 
-// One entry and some sidecars, joined by streams that this harness carries, so
-// that a test can lose, hold back or reorder what travels.
+// One entry and several sidecars, connected by simulated streams, so that a
+// test can lose, hold back or reorder frames.
 class core_simulation {
  public:
   explicit core_simulation(int sidecars,
                            const std::string& policy = "slot_offer");
 
-  // Lets `ms` pass in small steps; frames arrive within the step they are sent.
+  // Advances time by `ms` in small steps; frames arrive within the step in
+  // which they are sent.
   void Advance(int64_t ms);
   void Submit(uint64_t ticket, job_request request);
   void Announce(int sidecar, uint32_t slots, uint32_t cores = 16);
   void WithdrawUpstream(int sidecar);
-  void FinishOne(int sidecar,
-                 bool ok = true);  // the task that has run longest there
+  // Finishes the task that has run longest there.
+  void FinishOne(int sidecar, bool ok = true);
   void FinishAll(int sidecar);
   void CutStream(int sidecar);     // both ends see the stream close
-  void CrashSidecar(int sidecar);  // a new incarnation takes its place
+  void CrashSidecar(int sidecar);  // it restarts as a new incarnation
 
   const answer_complete* Complete(uint64_t ticket) const;
   const answer_failed* Failed(uint64_t ticket) const;
 
   entry_state entry;
   std::vector<sidecar_state> sidecars;
-  std::vector<std::vector<run_task>>
-      running;                        // by sidecar, as its upstream sees them
-  std::map<std::string, int> starts;  // by task, over all upstreams
-  std::vector<bool> silent;  // by sidecar: frames vanish, the stream stays open
-  std::vector<bool> frozen;  // by sidecar: it does nothing at all
-  std::vector<claim_action> claims;  // what the entry asked of the platform
-  std::vector<entry_event> inbox;    // for the entry's next tick
+  // By sidecar: the tasks that its upstream runs.
+  std::vector<std::vector<run_task>> running;
+  std::map<std::string, int> starts;  // by task, summed over all upstreams
+  // By sidecar: frames are dropped, the stream stays open.
+  std::vector<bool> silent;
+  std::vector<bool> frozen;  // by sidecar: it isn't ticked at all
+  // Requests that the entry made to the platform.
+  std::vector<claim_action> claims;
+  std::vector<entry_event> inbox;  // for the entry's next tick
   micros now = Millis(1000);
 
  private:
@@ -71,7 +74,7 @@
   void TickEntry();
 
   std::vector<stream> streams_;
-  std::vector<upstream_info> announced_;  // slots 0: says nothing
+  std::vector<upstream_info> announced_;  // slots 0: not announced
   std::vector<std::vector<sidecar_event>> to_sidecars_;
   std::map<uint64_t, answer_complete> complete_;
   std::map<uint64_t, answer_failed> failed_;
--- a/tests/dispatch_unit_test.cc
+++ b/tests/dispatch_unit_test.cc
@@ -1,10 +1,10 @@
-// Decisions of entry and sidecar on virtual time: at most once, verdicts,
-// admission, policies.
+// Entry and sidecar logic on virtual time: at-most-once execution, verdicts,
+// admission, policies, health.
 //
 // Contents
-//   [1] The common path
-//   [2] Streams that break
-//   [3] Processes that die
+//   [1] Normal operation
+//   [2] Broken streams
+//   [3] Lost processes
 //   [4] Admission
 //   [5] Policies
 //   [6] Health
@@ -42,7 +42,7 @@
 
 }  // namespace
 
-// ---- [1] The common path ----------------------------------------------------
+// ---- [1] Normal operation ---------------------------------------------------
 
 TEST_CASE_METHOD(two_workers, "Job_WhenAllTasksFinish_IsCompleteInOrder") {
   world.Submit(1, MakeRequest(4));
@@ -81,7 +81,8 @@
   CHECK(Running(world) == 0);
 }
 
-TEST_CASE_METHOD(one_worker, "Cancel_WhenManyTasksRun_CostsOneRecordAWorker") {
+TEST_CASE_METHOD(one_worker,
+                 "Cancel_WhenManyTasksRun_CostsOneRecordPerWorker") {
   world.Announce(0, 16);
   world.Advance(20);
   world.Submit(1, MakeRequest(12));
@@ -94,11 +95,11 @@
         1);
 }
 
-// ---- [2] Streams that break -------------------------------------------------
+// ---- [2] Broken streams -----------------------------------------------------
 
-// A caller waits for one task. The stream to its sidecar closes while the task
-// runs, and the result is ready before the sidecar has dialled anew. The caller
-// must get the answer, and the task must not start again.
+// A stream breaks while a task runs, and the result is ready before the sidecar
+// has dialled again. The caller must get the answer, and the task must not
+// start twice.
 TEST_CASE_METHOD(one_worker, "Result_WhenStreamBreaksMeanwhile_IsDelivered") {
   world.Submit(1, MakeRequest(1));
   world.Advance(20);
@@ -110,10 +111,10 @@
   CHECK(NoDuplicates(world));
 }
 
-// An open stream goes silent for good: frames vanish, nothing closes. A start
-// is lost in it. Both ends notice by missing heartbeats; the sidecar dials
-// anew, says "never started", and the task runs once.
-TEST_CASE_METHOD(one_worker, "Start_WhenStreamGoesSilent_RunsOnceOnAFreshOne") {
+// An open stream goes silent for good, and a start is lost in it. Both ends
+// notice by missing heartbeats; the sidecar dials again and reports "never
+// started", and the task runs once.
+TEST_CASE_METHOD(one_worker, "Start_WhenStreamGoesSilent_RunsOnceOnANewOne") {
   world.silent[0] = true;
   world.Submit(1, MakeRequest(1));
   world.Advance(1000);
@@ -128,7 +129,7 @@
   CHECK(NoDuplicates(world));
 }
 
-// The same silence, but the start had arrived and only its result is lost.
+// The same silence, but the start had arrived and only the result is lost.
 TEST_CASE_METHOD(one_worker, "Result_WhenStreamGoesSilent_IsSentAgain") {
   world.Submit(1, MakeRequest(1));
   world.Advance(20);
@@ -141,9 +142,9 @@
   CHECK(NoDuplicates(world));
 }
 
-// A start is held up in the network on an old stream. The sidecar has dialled
-// anew and told the entry "never started". When the old start arrives at last
-// it must be dropped, or the task, by then sent again, would run twice.
+// A start is delayed on an old stream. The sidecar has dialled again and
+// reported "never started", so the task may have been sent a second time. The
+// old start must be dropped when it arrives, or the task would run twice.
 TEST_CASE_METHOD(one_worker, "Start_WhenItArrivesOnAnOlderStream_IsDropped") {
   const link_epoch old_epoch = world.sidecars[0].links[0].epoch;
   world.CutStream(0);
@@ -158,8 +159,8 @@
   CHECK(world.sidecars[0].running.empty());
 }
 
-// A refusal is held up on an old stream while the task, sent again on the new
-// one, runs. Believing the old refusal would send it a third time.
+// A reject is delayed on an old stream while the task, sent again on the new
+// one, runs. Accepting it would send the task a third time.
 TEST_CASE_METHOD(one_worker, "Reject_WhenItArrivesOnAnOlderStream_IsDropped") {
   const link_id old_link = world.entry.workers[0].link;
   const link_epoch old_epoch = world.entry.workers[0].epoch;
@@ -177,11 +178,11 @@
   CHECK(NoDuplicates(world));
 }
 
-// ---- [3] Processes that die -------------------------------------------------
+// ---- [3] Lost processes -----------------------------------------------------
 
-// A sidecar dies with a task running and comes back without memory. Its "never
+// A sidecar dies with a task running and restarts without its state. Its "never
 // started" proves nothing: the job must fail as "may have run", and the task
-// must not be started elsewhere.
+// must not start elsewhere.
 TEST_CASE_METHOD(two_workers, "Job_WhenItsSidecarRestarts_MayHaveRun") {
   world.Submit(1, MakeRequest(4));
   world.Advance(20);
@@ -193,7 +194,8 @@
   CHECK(NoDuplicates(world));
 }
 
-// The sidecar lives but has dropped unacknowledged results to bound its memory.
+// The sidecar keeps running, but has dropped unacknowledged results to bound
+// its memory.
 TEST_CASE_METHOD(one_worker, "Job_WhenItsResultWasForgotten_MayHaveRun") {
   world.sidecars[0].options.max_results_bytes = 4;
   world.Submit(1, MakeRequest(1));
@@ -208,8 +210,8 @@
   CHECK(NoDuplicates(world));
 }
 
-// A sidecar goes and never comes back. The job fails after the grace, not at
-// its deadline of a minute.
+// A sidecar is lost for good. The job fails after the grace period and not only
+// at its deadline of a minute.
 TEST_CASE_METHOD(one_worker, "Job_WhenItsSidecarIsGone_FailsAfterTheGrace") {
   world.Submit(1, MakeRequest(1));
   world.Advance(20);
@@ -220,7 +222,7 @@
   CHECK(world.Failed(1)->error.cause == reason::worker_lost);
 }
 
-// An upstream that leaves gets nothing new, and what it runs is finished.
+// An upstream that leaves gets no new tasks, and its running ones are finished.
 TEST_CASE_METHOD(one_worker,
                  "Upstream_WhenItLeaves_FinishesAndGetsNothingNew") {
   world.Submit(1, MakeRequest(1));
@@ -272,7 +274,8 @@
   CHECK(world.Failed(1)->error.run_verdict == verdict::not_run);
 }
 
-TEST_CASE_METHOD(one_worker, "Job_WhenTheQueueIsTooLong_IsToldWhenToComeBack") {
+TEST_CASE_METHOD(one_worker,
+                 "Job_WhenTheQueueIsTooLong_IsRefusedWithARetryTime") {
   world.Submit(1, MakeRequest(400));
   for (int i = 0; i < 100; ++i) {
     world.Advance(20);
@@ -343,8 +346,8 @@
 
 // ---- [6] Health -------------------------------------------------------------
 
-// One worker fails whatever it is given, at once, and so has free slots all the
-// time: left alone it would draw most jobs to their failure.
+// One worker fails every task at once, so it always has free slots and would
+// attract most jobs if it were not ejected.
 TEST_CASE("Worker_WhenItFailsEverything_IsEjected") {
   core_simulation world(3);
   uint64_t ticket = 1;
@@ -361,7 +364,7 @@
   CHECK(world.entry.workers[2].health.ejections == 0);
 }
 
-// A team sends jobs that fail wherever they run. No worker is at fault.
+// All jobs fail wherever they run. No worker is at fault.
 TEST_CASE("Workers_WhenEveryJobIsBad_AreNotEjected") {
   core_simulation world(3);
   for (uint64_t ticket = 1; ticket <= 60; ++ticket) {
@@ -377,11 +380,11 @@
   CHECK(ejected == 0);
 }
 
-// Two workers; the entry has a backlog and holds one worker back, for being
-// slow or ejected. The held worker's sidecar knew of the backlog and offered
-// its free slot; the entry gave it back and told of the backlog again,
-// thousands of times a second. Seen as 4,385 declines in a run of 7,209 tasks.
-TEST_CASE_METHOD(two_workers, "Offers_WhenAWorkerIsHeldBack_AreNotInvited") {
+// The entry has a backlog and holds one worker back as slow or ejected. If it
+// still sends the backlog there, the sidecar offers its free slot, the entry
+// declines it and sends the backlog again, thousands of times a second: 4,385
+// declines in a run of 7,209 tasks.
+TEST_CASE_METHOD(two_workers, "Offers_WhenAWorkerIsHeldBack_AreNotRequested") {
   world.Submit(1, MakeRequest(40));
   world.Advance(50);
   REQUIRE(Running(world) == 4);
@@ -393,10 +396,10 @@
   CHECK(declines <= 4);
 }
 
-// A large worker is busy; a job that needs it stands first. A small worker is
-// free, and a job that fits it must not wait behind the first. Nor must the
-// small worker's sidecar go on offering slots for a job that it can't hold.
-TEST_CASE_METHOD(two_workers, "Job_WhenAnotherFitsNoFreeWorker_PassesIt") {
+// A large worker is busy, and a job that only it can run is first in order. A
+// job that fits the small, free worker must not wait behind it, and the small
+// worker's sidecar must not keep offering slots for a job that doesn't fit.
+TEST_CASE_METHOD(two_workers, "Job_WhenAnotherFitsNoFreeWorker_OvertakesIt") {
   world.Announce(0, 2, 1);
   world.Advance(50);
   job_request large = MakeRequest(10);
@@ -416,8 +419,8 @@
   CHECK(declines <= 4);
 }
 
-// A sidecar is paused with its streams open. The entry must notice by itself,
-// for the sidecar can't dial anew, and place nothing there any more.
+// A sidecar is frozen with its streams open and can't dial again. The entry
+// must notice by itself and place nothing there.
 TEST_CASE_METHOD(two_workers, "Entry_WhenASidecarFreezes_PlacesNothingThere") {
   world.frozen[0] = true;
   world.Advance(2600);
@@ -429,9 +432,9 @@
   CHECK(world.Complete(1) != nullptr);
 }
 
-// Tasks queue at a sidecar whose stream breaks for good. When its slots come
-// free it must not start them: the entry may have given them up as "never
-// started".
+// Tasks queue at a sidecar whose stream breaks for good. It must not start them
+// when slots become free: the entry may have resolved them as "never started"
+// and sent them elsewhere.
 TEST_CASE("Queue_WhenItsStreamBreaks_StartsNothing") {
   core_simulation world(1, "two_choices");
   world.Submit(1, MakeRequest(4));
@@ -445,23 +448,25 @@
   CHECK(world.sidecars[0].queue.empty());
 }
 
-// A sidecar with several free slots hears that one task waits. It must offer
-// one slot, not all of them: each more costs an offer and a decline.
+// A sidecar with several free slots is notified that one task waits. It must
+// offer one slot only: each further one costs an offer and a decline.
 TEST_CASE("Offers_WhenOneTaskWaits_AreOne") {
   core_simulation world(1);
   world.Announce(0, 8);
   world.Advance(50);
-  entry_frame told;
-  told.epoch = world.sidecars[0].links[0].epoch;
-  told.backlog = order_key{0};
-  told.backlog_tasks = 1;
-  Tick(world.sidecars[0], world.now, {link_frame_received{entry_id{0}, told}});
+  entry_frame notification;
+  notification.epoch = world.sidecars[0].links[0].epoch;
+  notification.backlog = order_key{0};
+  notification.backlog_tasks = 1;
+  Tick(world.sidecars[0], world.now,
+       {link_frame_received{entry_id{0}, notification}});
   CHECK(world.sidecars[0]
             .metrics.records[static_cast<size_t>(record_kind::offer)] == 1);
 }
 
-// An entry is told to stop while the platform is down and a keyed job's outcome
-// is still to be written. It must wait for a while, and then stop all the same.
+// An entry is stopped while the platform is down and a keyed job's outcome
+// can't be written. It must wait for the grace period, and then stop all the
+// same.
 TEST_CASE_METHOD(one_worker, "Entry_WhenStoppedInAnOutage_StopsAfterTheGrace") {
   world.Submit(1, MakeRequest(1, "payment"));
   world.Advance(20);
