--- a/include/cassiaferry/closed_domains.h
+++ b/include/cassiaferry/closed_domains.h
@@ -1,16 +1,17 @@
-// Failure domains that operators have closed for new work.
+// Failure domains that operators have closed to new work.
 //
-// Nothing starts on the workers of a closed domain; what runs there goes on to
-// its end. The platform's store, where operators write, numbers its states;
-// entries read them there, and pass them on to sidecars and, through these, to
-// entries that can't read. The newest state wins, whole, whatever
-// order messages arrive in.
+// No task starts on a worker of a closed domain; tasks that already run there
+// continue to their end. Operators write to the platform's store, which
+// numbers its versions. Entries read the set of closed domains there and send
+// it to sidecars, which forward it to entries that can't reach the store. The
+// set with the highest version replaces the others as a whole, in whatever
+// order messages arrive.
 //
 // Contents
 //   [1] Types
-//   [2] Reading
-//   [3] Learning
-//   [4] Views
+//   [2] Reading from the store
+//   [3] Updates
+//   [4] Text output
 
 #ifndef CASSIAFERRY_CLOSED_DOMAINS_H_
 #define CASSIAFERRY_CLOSED_DOMAINS_H_
@@ -27,59 +28,59 @@
 // ---- [1] Types --------------------------------------------------------------
 
 using closed_domains_version =
-    strong_id<struct closed_domains_tag, uint64_t>;  // of the
-                                                     // store
+    strong_id<struct closed_domains_tag, uint64_t>;  // version of the store
 
-// All domains that were closed at one moment.
+// The set of closed domains as of one version of the store.
 struct closed_domains {
-  closed_domains_version version;  // the moment; 0: nothing has been heard
+  closed_domains_version version;  // 0: no set received yet
   std::set<std::string> domains;
   bool operator==(const closed_domains&) const = default;
 };
 
-// What one process knows.
+// The closed domains known to one process.
 struct closed_domains_state {
   closed_domains known;  // in force here
-  closed_domains read;   // as read by this process itself, and as of when
+  closed_domains read;   // newest set read by this process itself
 };
 
-// ---- [2] Reading ------------------------------------------------------------
+// ---- [2] Reading from the store ---------------------------------------------
 
 enum class domain_status : uint8_t { closed, open, unreadable };
 
-// What stands of one domain where operators write.
+// The row of one domain in the store.
 struct domain_status_row {
   std::string domain;
   domain_status status = domain_status::closed;
 };
 
-// The state as of `version`, from one answer of the store. `whole`: a domain
-// that isn't named is open; else it is as it was. What can't be read changes
-// nothing: a domain that was closed stays so.
+// Builds the set as of `version` from one response of the store. If the
+// response is complete, a domain without a row is open; otherwise it keeps its
+// status. An unreadable row changes nothing: a closed domain stays closed.
 closed_domains ClosedDomainsFromRows(
     const closed_domains& before,
     const std::vector<domain_status_row>& words,
     bool whole,
     closed_domains_version version);
 
-// ---- [3] Learning -----------------------------------------------------------
+// ---- [3] Updates ------------------------------------------------------------
 
-// This process has read the state from the store. True: the domains in force
-// here have changed.
+// Applies a set that this process has read from the store. Returns whether the
+// domains in force here changed.
 bool UpdateClosedDomainsFromStore(closed_domains_state& s, closed_domains read);
 
-// Another process has told the state that it knows. True as above.
+// Applies a set received from another process. Returns whether the domains in
+// force here changed.
 //
-// Failure guarded against: a domain was closed and opened again while this
-// process could not follow, so that what it reads is what it knew before; then
-// somebody who only heard of the closing tells it. By its version that is older
-// than what was read here.
+// Failure guarded against: a domain is closed and reopened while this process
+// can't read the store, so its next read equals what it knew before. A process
+// that missed the reopening then sends the closed state. Its version is lower
+// than that of the read, so it is ignored.
 bool UpdateClosedDomainsFromPeer(closed_domains_state& s,
                                  const closed_domains& told);
 
 bool IsClosed(const closed_domains_state& s, const std::string& domain);
 
-// ---- [4] Views --------------------------------------------------------------
+// ---- [4] Text output --------------------------------------------------------
 
 // For logs: "a b", or "none".
 std::string ToText(const closed_domains& closings);
--- a/include/cassiaferry/compression.h
+++ b/include/cassiaferry/compression.h
@@ -1,4 +1,4 @@
-// Compression of what travels between processes.
+// Compression of data sent between processes.
 
 #ifndef CASSIAFERRY_COMPRESSION_H_
 #define CASSIAFERRY_COMPRESSION_H_
@@ -9,13 +9,13 @@
 
 namespace cassiaferry {
 
-// A text packed from more than this is refused when it is unpacked: a caller's
-// body is at most 4 MiB, a configuration less.
+// Decompression fails for input that yields more than about this much: a
+// caller's body is at most 4 MiB, a configuration smaller.
 constexpr size_t kMaxDecompressedBytes = size_t{16} << 20;
 
 std::string Compress(const std::string& text);
 
-// Nothing: the bytes are not what Pack has made, or are cut short.
+// Returns nothing if the input is truncated or isn't output of Compress.
 std::optional<std::string> Decompress(const std::string& packed);
 
 }  // namespace cassiaferry
--- a/include/cassiaferry/lateness.h
+++ b/include/cassiaferry/lateness.h
@@ -1,17 +1,17 @@
-// How late a process acts on what has arrived.
+// Measures how late a process handles what has arrived.
 //
-// A process that is short of processor time shows it in nothing else that it
-// decides by: its workers look idle, its link looks free, and callers and
+// None of the other inputs to its decisions show that a process is short of
+// processor time: its workers look idle, its link looks free, and requests and
 // frames wait in sockets that it has not read. Frames carry the time at which
-// they were sent, on their sender's clock: what they take longer than the
-// quickest of late is time in queues, here for the most part.
+// they were sent, on the sender's clock. The delay of a frame beyond that of
+// the fastest recent frame is queueing time, most of it in this process.
 //
-// Pure: no thread, clock or socket.
+// Pure functions: no thread, clock or socket.
 //
 // Contents
-//   [1] Clocks of two processes
+//   [1] Clock offset
 //   [2] Lateness
-//   [3] Calls
+//   [3] Functions
 
 #ifndef CASSIAFERRY_LATENESS_H_
 #define CASSIAFERRY_LATENESS_H_
@@ -23,66 +23,70 @@
 
 namespace cassiaferry {
 
-// ---- [1] Clocks of two processes --------------------------------------------
+// ---- [1] Clock offset -------------------------------------------------------
 
-// Least difference between the time at which something came, on one clock, and
-// at which it was sent, on another, of this span of time and of the one before:
-// clocks drift. Microseconds.
+// Smallest difference between receive time on one clock and send time on
+// another, over the current and the previous time window. Only two windows are
+// kept because clocks drift. Microseconds.
 struct clock_offset {
   int64_t min_difference = INT64_MAX;
   int64_t previous_min_difference = INT64_MAX;
   micros window_start{0};
 };
 
-// What this difference is above the least of late.
+// Records a difference and returns by how much it exceeds the smallest recent
+// one.
 int64_t DelayAboveMin(clock_offset& gap, micros now, int64_t difference);
 
 // ---- [2] Lateness -----------------------------------------------------------
 
 struct lateness_options {
-  micros interval = Millis(100);        // of one value
-  micros averaging_time = Millis(300);  // of the mean of values
-  // A single stream that was held up tells nothing of this process.
+  micros interval = Millis(100);        // length of one interval
+  micros averaging_time = Millis(300);  // decay time of the mean
+  // Bounds the effect of a single delayed stream, which says nothing about this
+  // process.
   micros max_frame_delay = Millis(500);
-  // Late above the first, until below the second: callers of short tasks have
-  // about 60 ms beside their tasks' work, and wait for this process twice.
+  // The process counts as late above `late_above`, until it is below
+  // `in_time_below`. Callers of short tasks allow about 60 ms beyond the task's
+  // own work, and wait for this process twice.
   micros late_above = Millis(30);
   micros in_time_below = Millis(15);
-  // While an interval's value is above this, more of the new work is refused,
-  // else less: so much each interval.
+  // After each interval whose mean is above this, the refused share of new work
+  // grows by one step; otherwise it shrinks by one.
   micros refuse_above = Millis(25);
   double refuse_share_step = 0.1;
   double max_refuse_share = 0.9;
-  // Above this even what has time for it is refused: heartbeats wait as well,
-  // and runs lapse after some hundred milliseconds without one.
+  // Above this, jobs with time to spare are refused too: heartbeats are delayed
+  // as well, and runs expire after a few hundred milliseconds without one.
   micros refuse_any_above = Millis(100);
 };
 
 struct lateness {
   lateness_options options;
-  double mean_us = 0;           // of late
-  double last_interval_us = 0;  // of the newest interval
-  double sum_us = 0;            // of the frames of this interval ...
-  uint64_t frames = 0;          // ... so many
-  micros loop_wait{0};  // longest wait of an event for a tick, this interval
-  micros last_loop_wait{0};  // ... and the one before
-  micros interval_start{0};  // this interval
+  double mean_us = 0;           // decayed mean over intervals
+  double last_interval_us = 0;  // mean of the newest interval
+  double sum_us = 0;            // sum over the frames of this interval
+  uint64_t frames = 0;          // frames in this interval
+  micros loop_wait{0};  // longest wait of an event for a tick in this interval
+  micros last_loop_wait{0};  // same, in the previous interval
+  micros interval_start{0};  // start of this interval
   bool is_late = false;
-  double refuse_share = 0;  // of new work, so that the rest is done in time
+  double refuse_share = 0;  // refused share of new work; the rest stays in time
 };
 
-// ---- [3] Calls --------------------------------------------------------------
+// ---- [3] Functions ----------------------------------------------------------
 
-// A frame was handled; `above`: time on its way, above the usual.
+// Records a handled frame; `above` is its delay beyond the smallest recent one.
 void RecordFrameDelay(lateness& l, int64_t above);
-// What a tick handles has waited so long in this process.
+// Records how long an event waited in this process for the tick that handles
+// it.
 void RecordLoopWait(lateness& l, micros waited);
-// Each tick. Set when "is it late" has changed.
+// Call each tick. Returns the new value of `is_late` if it has changed.
 std::optional<bool> TickLateness(lateness& l, micros now);
-// A job that has so much time beside its work can't be in time here: it waits
-// for this process twice, for its start and for its end.
+// Whether a job with `spare` time beyond its own work can't finish in time
+// here. It waits for this process twice: for its start and for its end.
 bool IsTooLateFor(const lateness& l, micros spare);
-// This process was paused: what was measured meanwhile tells nothing.
+// Discards the current interval, because the process was paused during it.
 void RestartInterval(lateness& l, micros now);
 
 }  // namespace cassiaferry
--- a/src/core/closed_domains.cc
+++ b/src/core/closed_domains.cc
@@ -1,4 +1,4 @@
-// Failure domains that are closed for new work.
+// Failure domains that are closed to new work.
 
 #include "cassiaferry/closed_domains.h"
 
@@ -36,8 +36,8 @@
   return read;
 }
 
-// A state that is what was known already keeps its number: told anew by each
-// process that starts, it would travel to all others for nothing.
+// A read that equals the known set doesn't raise the known version. Otherwise
+// each process that starts would send the unchanged set to all others.
 bool UpdateClosedDomainsFromStore(closed_domains_state& s,
                                   closed_domains read) {
   if (read.version < s.read.version)
--- a/src/core/compression.cc
+++ b/src/core/compression.cc
@@ -1,4 +1,4 @@
-// Compression, by zlib.
+// Compression with zlib.
 
 #include "cassiaferry/compression.h"
 
@@ -10,14 +10,17 @@
 
 namespace {
 
-// Bodies are a few kilobytes: a window of 4 KiB, and the little memory that
-// goes with it, are soon set up. Raw deflate: TCP has checked the bytes.
+// Bodies are a few kilobytes, so a 4 KiB window and little memory are enough,
+// and they are quick to set up. Raw deflate omits the checksum: TCP has checked
+// the bytes.
 constexpr int kWindowBits = -12;
 constexpr int kMemoryLevel = 5;
 constexpr int kInflateWindowBits = -15;
-constexpr size_t kInitialOutputBytes = 4096;  // bytes, of what unpacks
+// Bytes; the output buffer grows as needed.
+constexpr size_t kInitialOutputBytes = 4096;
 
-// One for each thread, set up once: setting up takes as long as packing 1 kB.
+// One per thread and reused, because the setup takes as long as compressing
+// 1 kB.
 struct deflater {
   deflater() {
     ok = deflateInit2(&z, Z_BEST_SPEED, Z_DEFLATED, kWindowBits, kMemoryLevel,
@@ -39,7 +42,7 @@
   bool ok = false;
 };
 
-// zlib takes no constant input, and doesn't write to it.
+// zlib's input pointer is not const, but zlib doesn't write through it.
 Bytef* InputOf(const std::string& text) {
   return reinterpret_cast<Bytef*>(const_cast<char*>(text.data()));
 }
--- a/src/core/frame_bytes.cc
+++ b/src/core/frame_bytes.cc
@@ -9,12 +9,13 @@
 // TCP and IP headers of a packet and of its acknowledgement, HTTP/2 and gRPC
 // headers, and the fields that every frame has.
 constexpr size_t kFrameOverhead = 150;
-constexpr size_t kRefBytes = 32;    // names a task and its run
-constexpr size_t kStartBytes = 30;  // a task of a batch: numbers and room
+constexpr size_t kRefBytes = 32;    // identifies a task and its run
+constexpr size_t kStartBytes = 30;  // a task of a batch: numbers and resources
 constexpr size_t kRecordBytes = 24;
 constexpr size_t kWorkerBytes = 80;
 
-// Configurations travel packed: lists of queues that look alike.
+// Configurations are sent compressed. They are lists of similar queues and
+// shrink to about a fifth.
 size_t Bytes(const std::optional<config_document>& document) {
   constexpr size_t kPackedTimes = 5;
   return document ? document->json.size() / kPackedTimes + kRecordBytes : 0;
@@ -24,7 +25,7 @@
   return closings ? kRecordBytes * (1 + closings->domains.size()) : 0;
 }
 
-// Tasks of one job that follow each other share its payload.
+// Consecutive tasks of one job share a single copy of its payload.
 size_t Bytes(const std::vector<run_start>& starts) {
   size_t bytes = 0;
   const std::string* job = nullptr;
--- a/src/core/lateness.cc
+++ b/src/core/lateness.cc
@@ -1,7 +1,7 @@
-// How late this process acts.
+// Measures how late this process handles what has arrived.
 //
 // Contents
-//   [1] Clocks of two processes
+//   [1] Clock offset
 //   [2] Lateness
 
 #include "cassiaferry/lateness.h"
@@ -11,10 +11,10 @@
 
 namespace cassiaferry {
 
-// ---- [1] Clocks of two processes --------------------------------------------
+// ---- [1] Clock offset -------------------------------------------------------
 
 int64_t DelayAboveMin(clock_offset& gap, micros now, int64_t difference) {
-  // Clocks that differ by a percent are 50 ms apart after this.
+  // Clocks whose rates differ by one percent drift 50 ms apart in this time.
   constexpr micros kSpan = Millis(5000);
   if (now - gap.window_start >= kSpan) {
     gap.window_start = now;
--- a/src/core/leased_admission.cc
+++ b/src/core/leased_admission.cc
@@ -1,4 +1,4 @@
-// Admission of leased jobs.
+// Admission of leased jobs: predictions and refusals.
 //
 // Contents
 //   [1] Predictions
@@ -13,21 +13,23 @@
 
 namespace {
 
-// Three jobs of four take no longer than is likely by the margin. A fixed one
-// of 1.3 or 1.6 does as well (0.84 of the value at 1.4 times the load that
-// fits, cassiaferry-emulate), but estimates are off by other factors elsewhere.
+// The margin tracks the third quartile: three of four jobs take no longer than
+// the estimate times the margin. In cassiaferry-emulate, fixed margins of 1.3
+// and 1.6 do as well (0.84 of the value at 1.4 times the load that fits), but
+// estimates are off by other factors in other deployments.
 constexpr double kMarginQuantile = 0.75;
 constexpr double kMarginStep = 0.05;
 constexpr double kMinMargin = 1;
 constexpr double kMaxMargin = 2;
-// Arrivals are taken together over this time, and decayed: a burst shows within
-// a few waits of a short job.
+// Arriving work is summed over an interval and averaged with decay. A burst
+// shows within a few waiting times of a short job.
 constexpr micros kArrivalInterval = Millis(100);
 constexpr micros kArrivalAveragingTime = Millis(300);
-// More work arrives than this share of what is done: what waits and is late
-// will not find room.
+// The entry is overloaded if more work arrives than this share of the rate at
+// which work is done: a waiting job that is late will not get capacity.
 constexpr double kOverloadShare = 0.9;
-// A burst that is over is worked off: some still arrives.
+// Overload also requires that the last sample is above this share of that rate.
+// Otherwise the burst is over and its backlog is being worked off.
 constexpr double kLastSampleShare = 0.5;
 
 }  // namespace
@@ -48,8 +50,8 @@
       static_cast<int64_t>(static_cast<double>(job.expected.value) * margin)};
 }
 
-// A quantile that forgets: each sample above it moves it up three times as far
-// as each below moves it down.
+// Tracks a quantile of recent samples: each sample above the margin moves it up
+// three times as far as each one below moves it down.
 void UpdateDurationMargin(leased_state& s, const leased_job& job, micros took) {
   double& margin = s.estimates[job.queue.name].margin;
   const bool above = took > DurationWithMargin(s, job);
@@ -79,10 +81,11 @@
 
 namespace {
 
-// Work is done at the rate of the room in use: a core does a core-second a
-// second. So what stands ahead takes its work over that room, and what is
-// free. Failure guarded against: after an outage little is in use yet, and
-// jobs would be refused while workers stand idle.
+// Rate at which work is done, in thousandths of a core: a core in use does one
+// core-second of work a second. Work ahead of a job takes its core-seconds
+// divided by the processors in use and free.
+// Failure guarded against: after an outage few processors are in use yet; if
+// free ones didn't count, jobs would be refused while workers are idle.
 double WorkRate(const leased_state& s, int64_t free_cpu) {
   auto rate = static_cast<double>(free_cpu);
   for (const auto& [queue, cpu] : s.cpu_in_use)
@@ -110,10 +113,11 @@
 
 namespace {
 
-// Under lasting overload a job that ends late takes the room of one that could
-// have been in time, and that one waits and ends late as well. Load: 1.4 times
-// what fits, one worker of eleven at a standstill, 6 of 100 orders lost: 0.69
-// instead of 0.63 of the value is served (cassiaferry-emulate, six seeds).
+// Under lasting overload a job that ends late uses the capacity of one that
+// could have been in time, which then waits and ends late as well. With 1.4
+// times the load that fits, one of eleven workers stalled and 6 of 100 orders
+// lost, refusing late jobs serves 0.69 instead of 0.63 of the value
+// (cassiaferry-emulate, six seeds).
 bool RefusesLate(const leased_state& s, double rate) {
   return s.options.admission == leased_admission::in_time &&
          std::min(s.work_arriving, s.previous_work_arriving) >
--- a/src/core/leased_admission.h
+++ b/src/core/leased_admission.h
@@ -1,5 +1,5 @@
-// Which waiting leased jobs are refused because they can't be served in time.
-// Private to src/core.
+// Decides which waiting leased jobs are refused because they can't be served in
+// time. Private to src/core.
 //
 // Contents
 //   [1] Predictions
@@ -16,15 +16,16 @@
 
 // ---- [1] Predictions --------------------------------------------------------
 
-// Processors that the job's waiting tasks need, thousandths of a core.
+// Processors that the job's waiting tasks need, in thousandths of a core.
 int64_t WaitingCpu(const leased_job& job);
-// From the start of the job to its end, with a margin for what its queue's jobs
-// took beyond the estimate.
+// Expected time from the job's start to its end, times a margin learnt from how
+// far the queue's jobs exceeded the estimate.
 micros DurationWithMargin(const leased_state& s, const leased_job& job);
-// A job of the queue has taken so long from its start.
+// Updates the margin of the job's queue with the time that the job took from
+// its start.
 void UpdateDurationMargin(leased_state& s, const leased_job& job, micros took);
 
-// How long what waits takes at the rate at which work is done, milliseconds.
+// Time to finish all waiting work at the current rate, in milliseconds.
 double DrainMs(const leased_state& s, int64_t free_cpu);
 
 void RecordArrival(leased_state& s, const leased_job& job);
@@ -33,14 +34,15 @@
 
 // ---- [2] Refusals -----------------------------------------------------------
 
-// Nothing of the job has run, and nobody was told that it will.
+// Whether the job may still be refused: none of its runs may have begun, and
+// its caller was not told that it is accepted.
 bool MayRefuse(const leased_job& job);
 
-// Those of `order` (as ServeOrder gave it) that have not started and are to be
-// refused now: by the work that stands before them they can't be of use any
-// more, or they can't be in time and the admission rule asks for that. Each
-// needs processors, and its payload a part of this entry's link. `free_cpu`:
-// room that workers have left, thousandths of a core.
+// Returns the jobs of `order` (from ServeOrder) that have not started and are
+// to be refused now. Given the work ahead of them, their result would come too
+// late to be of use, or late, if the admission rule refuses late jobs. Each job
+// needs processors and, for its payload, a part of this entry's link.
+// `free_cpu`: free processors of the workers, in thousandths of a core.
 std::vector<leased_seq> UnservableJobs(const leased_state& s,
                                        const std::vector<leased_seq>& order,
                                        int64_t free_cpu,
--- a/src/core/leased_choice.cc
+++ b/src/core/leased_choice.cc
@@ -1,4 +1,4 @@
-// Which worker a task of a leased job goes to.
+// Chooses the worker for a task of a leased job.
 //
 // Contents
 //   [1] Cost
@@ -16,14 +16,16 @@
 
 namespace {
 
-// Workers compared for a task; more draws all entries to the same one.
+// Number of workers compared for a task. With more, all entries would choose
+// the same one.
 constexpr size_t kChoices = 6;
 
 // ---- [1] Cost ---------------------------------------------------------------
 
-// What is asked of a worker: room for tasks alike, the more the better.
+// Resources wanted on one worker: for at least one, at best for all of a number
+// of equal tasks.
 struct resource_request {
-  resources need;  // of each task
+  resources need;  // per task
   uint32_t tasks = 1;
 };
 
@@ -33,14 +35,16 @@
   return static_cast<uint32_t>(std::clamp<int64_t>(by_cpu, 1, wanted.tasks));
 }
 
-// Less is better. Free room spreads the load; one worker for all of a step's
-// tasks spares copies of the payload; a worker that is slow or fails much is
-// taken when others are full, and so is one in another failure domain: what
-// travels between domains is dear, and slower. What was heard long ago is less
-// believed: workers that this entry uses tell it of each end, others only with
-// their heartbeats, and meanwhile somebody else has taken the room. With twelve
-// entries at 0.8 of the load 20 instead of 45 of 100 starts are refused
-// (cassiaferry-emulate).
+// Cost of placing tasks on a worker; lower is better.
+// - Free resources: preferring them spreads the load.
+// - Capacity for all of a step's tasks: fewer copies of the payload are sent.
+// - Health: a slow or failing worker is used only when others are full.
+// - Distance: traffic between failure domains is expensive and slower, so a
+//   worker in another domain is used only when near ones are full.
+// - Age of the report: workers that this entry uses report each end, others
+//   only with their heartbeats, and by then another entry may have taken the
+//   free resources. With twelve entries at 0.8 of the load, the age term lowers
+//   the refused starts from 45 to 20 of 100 (cassiaferry-emulate).
 double Cost(const leased_worker& w,
             const resource_request& wanted,
             bool is_far,
@@ -49,7 +53,7 @@
   constexpr double kFailingWeight = 4;
   constexpr double kPartWeight = 1;
   constexpr double kAgeWeight = 1;
-  constexpr micros kOldWord = Millis(130);  // about a heartbeat
+  constexpr micros kOldWord = Millis(130);  // about one heartbeat interval
   constexpr double kFarWeight = 1;
   const resources left = AvailableResources(w) - wanted.need;
   const double used =
@@ -63,15 +67,16 @@
                         kOldWord.value);
   const double sick =
       std::clamp(slowness, 0.0, 4.0) + w.failure_share * kFailingWeight;
-  // Whether it is well again shows only if it gets something to do.
+  // A recovery shows only if the worker gets a run.
   const bool probe_due =
       w.probe_pause.value != 0 && w.open_runs.empty() && now >= w.probe_after;
   return used + (probe_due ? 0 : age * kAgeWeight + sick) +
          missing * kPartWeight + (is_far ? kFarWeight : 0);
 }
 
-// Away from its data a task takes longer, and may still be sooner done there
-// than after a wait: other workers are taken when those near it are full.
+// Keeps only workers with the step's preferred label, if any fit. A task takes
+// longer away from its data, but may still be done sooner there than after a
+// wait, so other workers are used when the preferred ones are full.
 void KeepPreferred(const entry_state& s,
                    const leased_step& step,
                    std::vector<worker_id>& fitting) {
@@ -109,14 +114,15 @@
 
 namespace {
 
-// In another failure domain than this entry. Unknown ones are as good.
+// Whether the worker is in another failure domain than this entry. An unknown
+// domain counts as near.
 bool IsFar(const entry_state& s, worker_id id) {
   const std::string& domain = s.workers[id.value].failure_domain;
   return !domain.empty() && domain != s.options.failure_domain;
 }
 
-// Up to `kChoices` of the workers, drawn at random, those of this entry's own
-// failure domain first.
+// Draws up to `kChoices` workers at random, those in this entry's own failure
+// domain first.
 std::vector<worker_id> DrawChoices(entry_state& s,
                                    std::vector<worker_id> fitting) {
   const auto far = std::partition(fitting.begin(), fitting.end(),
@@ -135,14 +141,15 @@
 
 }  // namespace
 
-// An entry hears at once of changes of room on some workers, and each second of
-// others: those of its own failure domain first, in an order of its own
-// (rendezvous hashing), so that entries follow different ones, and one that
-// goes or comes changes little. Workers that run something for it tell it of
-// changes in any case. With 61 workers and ten entries at 0.8 of the load an
-// entry takes 170 instead of 380 frames a second of such news.
+// Selects the workers that report each change of their free resources to this
+// entry at once; others report once a second. Workers in its own failure domain
+// come first, then the order is by rendezvous hashing: entries follow different
+// workers, and a worker that joins or leaves changes little. Workers that run
+// tasks for this entry report changes in any case. With 61 workers and ten
+// entries at 0.8 of the load, an entry receives 170 instead of 380 such frames
+// a second.
 void FollowWorkers(entry_state& s, micros now) {
-  constexpr size_t kFollowed = 16;  // as many as jobs of an entry need at once
+  constexpr size_t kFollowed = 16;  // as many as an entry's jobs need at once
   constexpr micros kEvery = Millis(500);
   if (now - s.leased.last_follow < kEvery)
     return;
--- a/src/core/leased_closed_domains.cc
+++ b/src/core/leased_closed_domains.cc
@@ -1,8 +1,8 @@
-// Leased jobs while failure domains are closed for new work.
+// Leased jobs while failure domains are closed to new work.
 //
 // Contents
-//   [1] Work that only closed domains could do
-//   [2] Room there
+//   [1] Jobs that need a closed domain
+//   [2] Processors in use there
 
 #include <algorithm>
 
@@ -15,8 +15,9 @@
 
 namespace {
 
-// ---- [1] Work that only closed domains could do -----------------------------
+// ---- [1] Jobs that need a closed domain -------------------------------------
 
+// Whether workers in closed domains could run the step, and no others.
 bool OnlyClosedDomainsFit(const entry_state& s,
                           const std::string& upstream,
                           const leased_step& step) {
@@ -43,8 +44,8 @@
                      });
 }
 
-// Nobody knows when a domain is opened again; many callers should not return at
-// one moment.
+// It is unknown when a domain reopens. The retry time is random, so that
+// callers don't all return at the same moment.
 failure ClosedDomainFailure(entry_state& s) {
   constexpr int64_t kRetryMs = 1000;
   constexpr int64_t kSpreadMs = 1000;
@@ -66,7 +67,7 @@
              ClosedDomainFailure(s));
 }
 
-// ---- [2] Room there ---------------------------------------------------------
+// ---- [2] Processors in use there --------------------------------------------
 
 int64_t CpuInUseInClosedDomains(const entry_state& s) {
   int64_t cpu = 0;
--- a/src/core/leased_jobs.cc
+++ b/src/core/leased_jobs.cc
@@ -1,11 +1,11 @@
-// Leased jobs of an entry: taking, ends, answers.
+// Leased jobs of an entry: submission, ends of runs, answers.
 //
 // Contents
 //   [1] Tables
 //   [2] Answers
-//   [3] Taking a job
-//   [4] Ends
-//   [5] Views
+//   [3] Submission
+//   [4] Ends of runs
+//   [5] Queries
 
 #include "cassiaferry/leased_jobs.h"
 
@@ -20,13 +20,14 @@
 
 namespace {
 
-// Done within this many times the on-time bound, a late answer is of some use.
+// A late answer is of some use within this many times the on-time bound.
 constexpr int64_t kUselessFactor = 3;
 constexpr double kEstimateDecay = 0.95;
 constexpr double kFailureShareDecay = 0.8;
-// A refused run is not offered to the same worker for this long.
+// A worker that refused a start gets no other one for this long.
 constexpr micros kAvoidAfterRefusal = Millis(5);
-// The numbers of an earlier entry's runs of the same job are passed in one go.
+// Added to a task's run number when a run is superseded, to skip all run
+// numbers that an earlier entry used for the same task.
 constexpr uint32_t kRunNumberStep = 16;
 
 }  // namespace
@@ -167,7 +168,7 @@
       answer_leased_job{ticket, leased_outcome::refused, std::move(why)});
 }
 
-// ---- [3] Taking a job -------------------------------------------------------
+// ---- [3] Submission ---------------------------------------------------------
 
 namespace {
 
@@ -184,7 +185,8 @@
   Enqueue(s, job);
 }
 
-// Longest chain of declared work, corrected by what the queue's jobs took.
+// The longest chain of declared work, times the queue's measured ratio of run
+// time to declared time.
 micros ExpectedWork(const leased_job& job, double ratio) {
   std::vector<int64_t> finish(job.steps.size(), 0);
   int64_t longest = 0;
@@ -283,11 +285,12 @@
   return !steps.empty();
 }
 
-// A job that no worker ever seen could hold is told so at once. Before any
-// worker is known it waits: the first announcement may be a second away.
-// Failure guarded against: workers whose room is small for a while, and a job
-// that fits at other times is refused for good. What counts is the most room
-// that they have had.
+// Whether some known worker of the upstream could hold a task of each step; if
+// not, the job is refused at once. While no worker is known the job waits,
+// because the first announcement may be a second away.
+// Failure guarded against: the capacity of workers is small for a while, and a
+// job that fits at other times is refused for good. So the largest capacity
+// that each worker has had counts.
 bool CanEverRun(const entry_state& s,
                 const queue_config& queue,
                 const std::vector<leased_step>& steps) {
@@ -306,12 +309,12 @@
   return true;
 }
 
-// A stopping entry serves what its callers still send on open connections, as
-// long as that is done in the time that is left if it is done in time at all.
+// Whether a stopping entry still accepts a job from an open connection: a job
+// that is done in time must be done before the entry closes.
 bool FitsBeforeStop(const entry_state& s, const leased_job& job) {
   if (!s.draining)
     return true;
-  // Sidecars have been told goodbye, and the process is about to end.
+  // Sidecars have got the shutdown notice, and the process is about to end.
   if (s.drain_announced)
     return false;
   const leased_options& o = s.leased.options;
@@ -419,15 +422,16 @@
   leased_job& job = l.jobs[it->second];
   std::erase(job.tickets, ticket);
   l.tickets.erase(it);
-  // A caller that has gone sends its job again, to any entry: whatever runs
-  // here has to be over by then. A durable job goes on: it may be stored.
+  // A caller that has gone may send its job again, to any entry, so the job's
+  // runs here must be over by then. A durable job continues, because it may
+  // already be stored.
   if (job.tickets.empty() && job.durable.stage == durable_stage::none)
     Conclude(
         s, now, job, leased_outcome::cancelled,
         {verdict::may_have_run, reason::cancelled, "the caller has gone", 0});
 }
 
-// ---- [4] Ends ---------------------------------------------------------------
+// ---- [4] Ends of runs -------------------------------------------------------
 
 namespace {
 
@@ -454,7 +458,7 @@
 
 }  // namespace
 
-// Tasks lie in the order of steps and indices.
+// Tasks are stored in the order of their steps and indices.
 leased_task_row* FindTask(leased_job& job, const leased_task& task) {
   size_t at = task.index;
   for (size_t step = 0; step < task.step && step < job.steps.size(); ++step)
@@ -507,7 +511,8 @@
                    static_cast<uint32_t>(&row - job.tasks.data()));
 }
 
-// Ends that this entry concluded from silence have no number.
+// Names the source of an end, for the log. An end without a number was
+// concluded by this entry because the sidecar was silent.
 std::string EndSourceText(const entry_state& s,
                           micros now,
                           worker_id id,
@@ -524,7 +529,7 @@
                worker_id id,
                const leased_job& job,
                const run_end& end) {
-  // Refused starts come by the hundred under load: LogRefusedStarts.
+  // Hundreds of starts are refused under load; LogRefusedStarts logs them.
   if (end.kind == run_end_kind::done || end.kind == run_end_kind::never_started)
     return;
   LogJob(s, "run ended", job,
@@ -538,7 +543,7 @@
 
 }  // namespace
 
-// One line for those of a report, with the jobs that they were of.
+// Logs the refused starts of a report in one line, with their jobs.
 void LogRefusedStarts(entry_state& s,
                       worker_id id,
                       const std::vector<run_end>& ends) {
@@ -565,8 +570,9 @@
 
 namespace {
 
-// Failure guarded against: the starts of a job are all refused, and it counts
-// as begun: it is kept until its caller gives up, though nothing of it has run.
+// Failure guarded against: all starts of a job are refused, but it still counts
+// as started. It would be kept until its caller gives up, though none of its
+// runs has begun.
 void UpdateMayHaveRun(leased_job& job, run_end_kind how) {
   job.may_have_run = job.may_have_run || how != run_end_kind::never_started;
   job.started = job.may_have_run || job.placed > 0;
@@ -605,7 +611,7 @@
   if (end.kind == run_end_kind::never_started)
     w.avoid_until = now + kAvoidAfterRefusal;
   LogRunEnd(s, now, id, *job, end);
-  // Stored before the sidecar, and so its worker, may forget it.
+  // Must be stored before the sidecar, and so its worker, may forget the end.
   if (end.kind == run_end_kind::done || end.kind == run_end_kind::failed)
     AddUnsavedEnd(s, *job, id, end);
   if (end.kind == run_end_kind::lost)
@@ -616,7 +622,7 @@
     RetryTask(s, now, *job, *row, end.kind);
 }
 
-// ---- [5] Views --------------------------------------------------------------
+// ---- [5] Queries ------------------------------------------------------------
 
 nlohmann::json ExplainLeasedJob(const entry_state& s,
                                 micros now,
--- a/src/core/leased_order.cc
+++ b/src/core/leased_order.cc
@@ -2,7 +2,7 @@
 //
 // Contents
 //   [1] Ranks
-//   [2] Shares of queues
+//   [2] Fair shares of queues
 //   [3] The order
 
 #include "leased_order.h"
@@ -20,12 +20,13 @@
 
 // ---- [1] Ranks --------------------------------------------------------------
 
-// What has started is finished before anything new starts, also when it is
-// late: half a job is of no use to its caller, and its room is lost. At 1.3
-// times the load that fits, 40 to 190 of 2,400 jobs were given up half done and
-// sent again when late ones had to wait; now 0 to 18 (cassiaferry-emulate). Of
-// what has not started, a job that can't be on time any more makes way for
-// those that can, and one that is of no use any more for all.
+// Jobs that have started are finished before others start, even if they are
+// late: half a job is of no use to its caller, and the capacity spent on it is
+// lost. At 1.3 times the load that fits, 0 to 18 of 2,400 jobs are given up
+// half done and sent again; if late ones had to wait, it would be 40 to 190
+// (cassiaferry-emulate). Among jobs that have not started, those that can still
+// be in time come first, then late ones, then those whose result would be of no
+// use any more.
 enum class job_rank : uint8_t { started, in_time, late, useless, count_ };
 
 job_rank RankOf(const leased_job& job, micros now) {
@@ -41,11 +42,11 @@
 struct ranked_job {
   const leased_job* job = nullptr;
   job_rank rank = job_rank::in_time;
-  int64_t key = 0;  // within its rank, or its queue's part of it
+  int64_t key = 0;  // sort key within the rank, or within its queue's part
 };
 
 int64_t KeyOf(leased_order order, const leased_job& job) {
-  constexpr int64_t kPriorityStep = int64_t{1} << 48;  // microseconds, 9 years
+  constexpr int64_t kPriorityStep = int64_t{1} << 48;  // microseconds; 9 years
   const int64_t start_by = (job.late_after - job.expected).value;
   switch (order) {
     case leased_order::first_come:
@@ -59,11 +60,11 @@
   return start_by;
 }
 
-// ---- [2] Shares of queues ---------------------------------------------------
+// ---- [2] Fair shares of queues ----------------------------------------------
 
-// Max-min fair: the next job is of the queue that holds the least. When room is
-// short, queues that ask for little get all of it, and what is missing is
-// missed by those that ask for most.
+// Max-min fairness: the next job comes from the queue that uses the fewest
+// processors. When capacity is short, queues that request little get all they
+// request, and those that request most go short.
 std::vector<ranked_job> InterleaveQueues(const std::vector<ranked_job>& jobs,
                                          std::map<std::string, int64_t>& used) {
   std::map<std::string, std::deque<ranked_job>> queues;
--- a/src/core/leased_order.h
+++ b/src/core/leased_order.h
@@ -1,4 +1,4 @@
-// Order in which waiting leased jobs get room. Private to src/core.
+// Order in which waiting leased jobs get capacity. Private to src/core.
 
 #ifndef CASSIAFERRY_SRC_CORE_LEASED_ORDER_H_
 #define CASSIAFERRY_SRC_CORE_LEASED_ORDER_H_
@@ -9,7 +9,7 @@
 
 namespace cassiaferry {
 
-// All waiting jobs, first to be served first.
+// Returns all waiting jobs in the order in which they are served.
 std::vector<leased_seq> ServeOrder(const leased_state& s, micros now);
 
 }  // namespace cassiaferry
--- a/src/core/leased_placing.cc
+++ b/src/core/leased_placing.cc
@@ -1,8 +1,8 @@
-// Placing of the tasks of leased jobs.
+// Places the tasks of leased jobs on workers.
 //
 // Contents
 //   [1] One job
-//   [2] All that wait
+//   [2] All waiting jobs
 //   [3] Overdue jobs
 
 #include <algorithm>
@@ -21,7 +21,7 @@
 
 namespace {
 
-// Jobs looked at past the first that found no room: smaller ones may fit.
+// Number of jobs tried after the first one that didn't fit: smaller ones may.
 constexpr int kLookAhead = 12;
 
 // ---- [1] One job ------------------------------------------------------------
@@ -54,8 +54,8 @@
   ++s.leased.counters.runs_ordered;
 }
 
-// A worker that has none of the job's tasks yet needs its payload, which takes
-// its part of the link.
+// Chooses a worker that has none of the job's tasks yet. It needs a copy of the
+// payload, which is charged to the link.
 std::optional<worker_id> ChooseForPayload(entry_state& s,
                                           micros now,
                                           const leased_job& job,
@@ -69,10 +69,10 @@
   return worker;
 }
 
-// Once, however many workers get a copy. Durable jobs are kept as they came:
-// their rows are text.
+// Compresses the payload once, for all workers that get a copy. Payloads of
+// durable jobs stay as they are, because their rows are stored as text.
 void CompressPayload(const leased_state& l, leased_job& job) {
-  constexpr size_t kLeastPacked = 200;  // bytes; less gains nothing
+  constexpr size_t kLeastPacked = 200;  // bytes; compressing less gains nothing
   const bool stored = job.durable.stage != durable_stage::none;
   if (job.payload_compressed || stored || !CompressesPayloads(l.link) ||
       job.payload.size() < kLeastPacked)
@@ -98,7 +98,7 @@
          " run " + std::to_string(row.run);
 }
 
-// Wide jobs name their first runs only: a line is bounded.
+// Names only the first runs of a wide job, to bound the length of the line.
 void LogPlaced(entry_state& s,
                const leased_job& job,
                const std::vector<uint32_t>& placed) {
@@ -111,10 +111,10 @@
   LogJob(s, "runs placed", job, std::move(text));
 }
 
-// Places what it can of the job's waiting tasks, on few workers: the payload
-// travels once to each, and a sick worker meets fewer jobs. On links of 250
-// kB/s, at a load that fits, 0.95 instead of 0.24 of the jobs are in time
-// (emulated world). False: one found no room.
+// Places as many of the job's waiting tasks as possible, on few workers: each
+// worker gets one copy of the payload, and an unhealthy worker affects fewer
+// jobs. On links of 250 kB/s, at a load that fits, 0.95 instead of 0.24 of the
+// jobs are in time (emulator). Returns whether all tasks were placed.
 bool PlaceJob(entry_state& s, micros now, leased_job& job) {
   const bool first = !job.started;
   CompressPayload(s.leased, job);
@@ -142,13 +142,14 @@
 
 }  // namespace
 
-// ---- [2] All that wait ------------------------------------------------------
+// ---- [2] All waiting jobs ---------------------------------------------------
 
 namespace {
 
-// Cheap, and true for most ticks under overload: no worker has room for even
-// the smallest task that waits. Ranking 200 waiting jobs takes 0.1 ms, a tenth
-// of an entry's processor at a thousand ticks a second.
+// Whether no worker has capacity for even the smallest waiting task. This is
+// cheap to check, and true for most ticks under overload. Ranking 200 waiting
+// jobs takes 0.1 ms, a tenth of an entry's processor at a thousand ticks a
+// second.
 bool NoWorkerHasCapacity(const entry_state& s) {
   int64_t most = 0;
   for (const leased_worker& w : s.leased.workers) {
@@ -199,11 +200,11 @@
   }
 }
 
-// Room that this entry's overdue jobs may use now. All entries that own jobs
-// see the same room free, and would together take far more than is spare: each
-// takes its part. Once no new jobs come it takes all. Failure guarded against:
-// after the traffic, jobs left on one entry wait for half a minute beside idle
-// workers.
+// Spare processors that this entry's overdue jobs may use now. All entries that
+// own jobs see the same free processors and would together use far more than
+// are spare, so each uses an equal part. While no new jobs arrive, an entry may
+// use all of them. Failure guarded against: after the traffic has ended, jobs
+// left on one entry wait for half a minute although workers are idle.
 int64_t SpareCpu(const leased_state& l, bool traffic_is_over) {
   int64_t spare = 0;
   for (const leased_worker& w : l.workers) {
@@ -218,16 +219,17 @@
 
 }  // namespace
 
-// Failure guarded against: after a burst, jobs that were accepted and are of no
-// use any more take all the room there is, whenever it gets free, and every new
-// job is late because of them, long after the burst (in the emulated world,
-// with twice the load for 3 s and then four fifths of it: 0.53 of the new jobs
-// in time; 0.79 with this, means of eight seeds). They can't be refused: they
-// wait for spare room, which is looked for less often than each tick.
+// Failure guarded against: after a burst, accepted jobs whose result is of no
+// use any more take all capacity as it gets free, and every new job is late
+// long after the burst. With twice the load for 3 s and then four fifths of it,
+// 0.53 of the new jobs are in time without this rule and 0.79 with it
+// (emulator, means of eight seeds). Accepted jobs can't be refused, so they
+// wait for spare capacity, which is checked less often than each tick.
 void PlaceOverdue(entry_state& s, micros now) {
   constexpr micros kEvery = Millis(50);
-  constexpr micros kOftenEvery = Millis(10);   // a tenth of a short task
-  constexpr micros kOverAfter = Millis(1000);  // without a new job
+  // A tenth of a short task's run time.
+  constexpr micros kOftenEvery = Millis(10);
+  constexpr micros kOverAfter = Millis(1000);  // without a new durable job
   leased_state& l = s.leased;
   const bool traffic_is_over = now - l.last_durable > kOverAfter;
   if (l.durable.jobs == 0 || now < l.recovery_until ||
--- a/src/core/leased_systems.h
+++ b/src/core/leased_systems.h
@@ -1,4 +1,4 @@
-// What the files of leased jobs share. Private to src/core.
+// Declarations shared by the files of leased jobs. Private to src/core.
 //
 // Contents
 //   [1] Jobs and tasks
@@ -33,17 +33,18 @@
 void MakeTasks(leased_job& job, uint32_t first_run);
 void SetBounds(leased_job& job, micros now, micros wait, double ratio);
 leased_job& AddLeasedJob(leased_state& s, leased_job job);
-// Tasks whose earlier steps are done wait for room.
+// Makes blocked tasks wait for capacity once the steps before them are done.
 void ReleaseTasks(leased_state& s, leased_job& job);
 void Dequeue(leased_state& s, leased_job& job);
-// Processor room that each queue's tasks hold, for their fair shares.
+// Adds the task's processors to those in use by its queue (`sign` 1), or
+// subtracts them (-1). Fair shares are computed from these sums.
 void AddCpuInUse(leased_state& s,
                  const leased_job& job,
                  const leased_task_row& row,
                  int sign);
-// Sends stops for whatever of the job is placed, and forgets it there. A stop
-// that is lost with its stream is made up for when the next one begins: the
-// run is then not among those this entry names.
+// Sends stops for the job's placed runs and removes these from the workers'
+// tables. If a stop is lost with its stream, the run is missing from the list
+// of known runs that this entry sends when the next stream begins.
 void StopRuns(entry_state& s, leased_job& job);
 void EraseLeasedJob(entry_state& s, leased_job& job);
 
@@ -53,25 +54,26 @@
                    leased_job& job,
                    leased_outcome outcome,
                    const failure& why);
-// Counts, logs and answers.
+// Counts and logs the outcome of a job.
 void CountOutcome(entry_state& s,
                   micros now,
                   const leased_job& job,
                   leased_outcome outcome,
                   const failure& why);
-// ... and ends the job here.
+// Counts and logs the outcome, answers the callers, stops the job's runs and
+// erases the job.
 void Conclude(entry_state& s,
               micros now,
               leased_job& job,
               leased_outcome outcome,
               const failure& why);
-// ... or, if it is durable, once its end is stored.
+// As Conclude; a durable job ends only once its end is stored.
 void EndJob(entry_state& s,
             micros now,
             leased_job& job,
             leased_outcome outcome,
             const failure& why);
-// `inputs`: what decided it, for the log alone.
+// `inputs`: the values that led to the refusal, only for the log.
 void RefuseTicket(entry_state& s,
                   ticket_id ticket,
                   const std::string& id,
@@ -84,12 +86,13 @@
 void LogRefusedStarts(entry_state& s,
                       worker_id id,
                       const std::vector<run_end>& ends);
-// The task is done, by whichever run.
+// Marks the task as done, whichever of its runs did it.
 void FinishLeasedTask(entry_state& s,
                       micros now,
                       leased_job& job,
                       leased_task_row& row);
-// A run has failed: counts against the task's attempts. True: the job failed.
+// Counts a failed run against the task's attempts. Returns whether the job
+// failed with it.
 bool CountFailedRun(entry_state& s,
                     micros now,
                     leased_job& job,
@@ -97,15 +100,16 @@
 
 // ---- [4] Workers (leased_workers.cc) ----------------------------------------
 
-// Overdue jobs leave this share of a worker's processors to others. Load comes
-// in bursts around four fifths of the room.
+// Overdue jobs leave this share of a worker's processors to other jobs. Load
+// comes in bursts around four fifths of the capacity.
 constexpr double kSpareShare = 0.3;
 
 lease_orders& OrdersFor(entry_state& s, worker_id id);
-// Slow against the others, or most of its newest runs failed.
+// Whether the worker is slow compared with others, or most of its newest runs
+// failed.
 bool IsUnhealthy(const entry_state& s, const leased_worker& w);
-// A run on the worker failed, or was moved off it: if it is sick, the next one
-// waits.
+// Records that a run on the worker failed or was moved off it. If the worker is
+// unhealthy, its next run is delayed.
 void RecordBadProbe(leased_worker& w, micros now);
 leased_worker& WorkerOf(entry_state& s, worker_id id);
 resources AvailableResources(const leased_worker& w);
@@ -115,17 +119,18 @@
                 const leased_job& job,
                 const leased_step& step);
 void MeasureUsualPace(leased_state& l);
-// Runs on workers that have been silent for long enough are over.
+// Ends the runs on workers that have been silent for long enough.
 void EndLostRuns(entry_state& s, micros now);
 
 // ---- [5] Choosing and placing (leased_choice.cc, leased_placing.cc) ---------
 
-// The worker may have one more task of the job's step.
+// Whether the worker may get one more task of the job's step.
 bool MayPlaceOneMore(const entry_state& s,
                      worker_id id,
                      const leased_job& job,
                      uint32_t step);
-// The best of some that fit, with room for most of so many tasks alike.
+// Returns the best of a sample of workers with capacity for a task of the step.
+// Workers with capacity for more of `tasks` such tasks are preferred.
 std::optional<worker_id> ChooseWorker(entry_state& s,
                                       micros now,
                                       const leased_job& job,
@@ -134,59 +139,59 @@
 void FollowWorkers(entry_state& s, micros now);
 void PlaceWaiting(entry_state& s, micros now);
 void PlaceOverdue(entry_state& s, micros now);
-// This entry acts too late for the job, which is among those that it leaves.
+// Whether to refuse the job because this entry is too late for it. While the
+// entry is late it refuses a random share of such jobs.
 bool RefusesNewWork(entry_state& s, const leased_job& job);
-// How late this process acts, for the log.
+// How late this process is, for the log.
 std::string LatenessText(const lateness& l);
-// When the work that waits here is done, as fast as work is done now, and up to
-// half as long again: callers that were refused together don't come back
+// Time until the work waiting here is done at the current rate, plus a random
+// part of up to half of it, so that callers refused together don't return
 // together.
 int64_t RetryAfterMs(entry_state& s);
 
 // ---- [6] Closed failure domains (leased_closed_domains.cc)
 // ------------------------
 
-// A step of the job could run on workers of closed domains alone.
+// Whether some step of the job fits only workers in closed domains.
 bool NeedsClosedDomain(const entry_state& s, const leased_job& job);
 failure ClosedDomainFailure(entry_state& s);
-// Refuses what waits, has not started, and is shut out.
+// Refuses waiting jobs that have not started and need a closed domain.
 void RefuseJobsInClosedDomains(entry_state& s, micros now);
-// Room that this entry's runs hold there, thousandths of a core: it comes back
-// to nobody.
+// Processors that this entry's runs use in closed domains, thousandths of a
+// core. No other task can use them once they are free.
 int64_t CpuInUseInClosedDomains(const entry_state& s);
 
 // ---- [7] Durable jobs (durable_jobs.cc, durable_adoption.cc) ----------------
 
 void SubmitDurableJob(entry_state& s, micros now, leased_job job);
-// Every task of the job is done, or one has failed for good, or it is
-// cancelled: the job ends when that is stored.
+// Ends a job whose tasks are all done, of which a task has failed for good, or
+// which was cancelled. It ends once that is stored.
 void EndDurableJob(entry_state& s, leased_job& job, leased_outcome outcome);
-// What the job has come to must be stored. Not durable: nothing is.
+// Marks the job's state as to be stored, if the job is durable.
 void MarkUnsaved(entry_state& s, leased_job& job);
-// The end is acknowledged when that is done.
+// Records an end that is acknowledged only once the job's state is stored.
 void AddUnsavedEnd(entry_state& s,
                    leased_job& job,
                    worker_id worker,
                    const run_end& end);
-// The caller of a job that is being accepted has waited for as long as it
-// could.
+// Handles the deadline of a caller whose durable job is still being accepted.
 void HandleDurableDeadline(entry_state& s, micros now, leased_job& job);
-// An end for which this entry has no run open.
+// Handles an end for which this entry has no open run.
 void HandleOrphanedEnd(entry_state& s,
                        micros now,
                        worker_id id,
                        const run_end& end);
-// Ends that a sidecar keeps for owners it does not hear of.
+// Handles ends that a sidecar holds for owners that are silent or unknown.
 void HandleUnclaimedEnds(entry_state& s,
                          micros now,
                          worker_id id,
                          const lease_reports& reports);
-// The run is given up without word of its end.
+// Gives up a run whose end is unknown.
 void AbandonRun(entry_state& s,
                 micros now,
                 leased_job& job,
                 const run_ref& ref);
-// This entry may start the job's tasks.
+// Whether this entry may start the job's tasks now.
 bool MayStart(const entry_state& s, micros now, const leased_job& job);
 void TickDurableJobs(entry_state& s, micros now);
 
--- a/src/core/leased_tick.cc
+++ b/src/core/leased_tick.cc
@@ -1,9 +1,9 @@
-// What is refused for want of room, stops and pauses, and the tick of leased
-// jobs.
+// The tick of leased jobs, with refusals for lack of capacity, shutdown and
+// pauses.
 //
 // Contents
 //   [1] Refusals
-//   [2] Stops and pauses
+//   [2] Shutdown and pauses
 //   [3] Tick
 
 #include <algorithm>
@@ -23,9 +23,10 @@
 
 // ---- [1] Refusals -----------------------------------------------------------
 
-// Failure guarded against: after an outage workers come back one by one, and by
-// the few that are there first all jobs would look hopeless. While their room
-// grows, and this long after, nothing is refused by how fast work is done.
+// Failure guarded against: after an outage workers return one by one, and
+// measured by the first few, no job could be served in time. While the capacity
+// of workers grows, and for this long after, no job is refused because of the
+// rate at which work is done.
 constexpr micros kGrowthStabilisationDelay = Millis(1000);
 constexpr int64_t kUnknownRate = int64_t{1} << 50;
 
@@ -47,10 +48,11 @@
   return free;
 }
 
-// `drain_ms`: until the work that waits here is done.
+// `drain_ms`: time until the work waiting here is done.
 int64_t RetryAfterMs(entry_state& s, double drain_ms) {
-  constexpr double kLeastMs = 300;    // sooner the same burst is still there
-  constexpr double kMostMs = 10'000;  // later callers give up
+  // Sooner, the same burst is still going on.
+  constexpr double kLeastMs = 300;
+  constexpr double kMostMs = 10'000;  // callers give up if told to wait longer
   const double spread =
       std::uniform_real_distribution<double>(1, 1.5)(s.random);
   return static_cast<int64_t>(std::clamp(drain_ms, kLeastMs, kMostMs) * spread);
@@ -62,11 +64,11 @@
   return RetryAfterMs(s, DrainMs(s.leased, FreeCpu(s)));
 }
 
-// Failure guarded against: an entry that is short of processor time takes all
-// that comes, its jobs' ends and heartbeats wait in sockets, runs lapse and are
-// sent again, and nearly all that it answers is late. What it can't do in time
-// is refused at once, at a tenth of the cost of serving it; a job with time to
-// wait for this process is taken.
+// Failure guarded against: an entry that is short of processor time accepts
+// every job, ends of runs and heartbeats wait in its sockets, runs expire and
+// are sent again, and nearly all its answers are late. A job that it can't
+// finish in time is refused at once, which costs a tenth of serving it. A job
+// with enough time to wait for this process is accepted.
 bool RefusesNewWork(entry_state& s, const leased_job& job) {
   const double share = s.leased.late.refuse_share;
   if (share <= 0)
@@ -86,13 +88,13 @@
 
 namespace {
 
-// What refusals of one tick were decided by, for the log: the same for all but
-// the job's own need. Looking at each worker for each of them cost an entry of
-// a tenth of a core 40 ms for 25 jobs.
+// Free resources by which one tick's refusals are explained in the log. They
+// are computed once per tick: computing them for each refused job takes an
+// entry with a tenth of a core 40 ms for 25 jobs.
 struct free_resources_summary {
-  int64_t max_free_cpu = 0;  // on one worker, thousandths of a core
+  int64_t max_free_cpu = 0;  // on a single worker, thousandths of a core
   uint32_t usable_workers =
-      0;  // workers that take work, and are not to be avoided
+      0;  // workers that take work and are not avoided now
 };
 
 free_resources_summary SummarizeFreeResources(const entry_state& s) {
@@ -116,9 +118,9 @@
          LatenessText(s.leased.late);
 }
 
-// What can't be of use any more, and has not run, is refused at once: the
-// caller learns that nothing ran, and when to come back. By the work that
-// stands before a job most such refusals come long before its time is over.
+// Refuses jobs that have not run and can't be served in time any more. Their
+// callers learn at once that nothing ran and when to retry. Because the work
+// ahead of a job counts, most such refusals come long before its time is over.
 void RefuseUnservable(entry_state& s, micros now) {
   constexpr micros kEvery = Millis(10);  // ranking takes 0.1 ms for 200 jobs
   if (s.leased.waiting.empty() || now - s.leased.last_refusal < kEvery)
@@ -129,7 +131,7 @@
   const std::vector<leased_seq> order = ServeOrder(s.leased, now);
   const bool settled =
       now - s.leased.capacity_grown_at > kGrowthStabilisationDelay;
-  // Without a rate, only what no room could save is hopeless.
+  // With an unknown rate, only jobs that no capacity could save are refused.
   const int64_t free =
       settled ? FreeCpu(s) - CpuInUseInClosedDomains(s) : kUnknownRate;
   const std::vector<leased_seq> hopeless =
@@ -162,13 +164,14 @@
   }
 }
 
-// ---- [2] Stops and pauses ---------------------------------------------------
+// ---- [2] Shutdown and pauses ------------------------------------------------
 
-// Workers that are full tell of freed room only to those that wait for some:
-// at once the ones that this entry follows or uses, and all others when these
-// have not helped.
+// Full workers report freed resources only to entries that wait for some. This
+// entry requests such reports at once from the workers that it follows or uses,
+// and later from all others if that has not helped.
 void RequestCapacityReports(entry_state& s, micros now) {
-  constexpr micros kAskAllAfter = Millis(20);  // a third of a caller's patience
+  // A third of the time that callers of short tasks allow.
+  constexpr micros kAskAllAfter = Millis(20);
   leased_state& l = s.leased;
   int64_t wanted = 0;
   for (leased_seq seq : l.waiting) {
@@ -196,8 +199,8 @@
   }
 }
 
-// A stop has an end: what still runs then is broken off, and its callers hear
-// so before the process goes.
+// Bounds the time of a shutdown: jobs that are still open at its end are
+// stopped, and their callers are answered before the process exits.
 void CloseJobs(entry_state& s, micros now) {
   const leased_options& o = s.leased.options;
   if (!s.draining || now - s.drain_since < o.drain_accept + o.drain_close)
@@ -215,7 +218,7 @@
   }
 }
 
-// A line when the bound has come, gone, or changed by a half or more.
+// Logs when the link's bound appears, disappears or changes by half or more.
 void LogLinkRate(entry_state& s) {
   constexpr double kTellsAt = 1.5;
   const double rate = s.leased.link.rate;
@@ -241,8 +244,8 @@
 }
 
 // Failure guarded against: this process was frozen, and wakes with jobs whose
-// callers have gone elsewhere meanwhile. Nothing starts until what lies in its
-// sockets, among it the ends of those connections, has been read.
+// callers have meanwhile gone to other entries. Nothing starts until the data
+// in its sockets, such as the ends of those connections, has been read.
 void DetectPause(leased_state& s, micros now) {
   if (s.last_tick.value != 0 && now - s.last_tick > s.options.pause_threshold) {
     ForgetInterval(s.link, now);
--- a/src/core/leased_workers.cc
+++ b/src/core/leased_workers.cc
@@ -1,9 +1,9 @@
-// Workers of leased runs, as an entry knows them: streams, reports, pace, what
-// is lost with them.
+// Workers of leased runs, as known to an entry: streams, reports, pace and lost
+// runs.
 //
 // Contents
-//   [1] Room and pace
-//   [2] Runs that are lost
+//   [1] Resources and pace
+//   [2] Lost runs
 //   [3] Streams
 //   [4] Stragglers
 //   [5] Frames
@@ -18,28 +18,32 @@
 
 namespace {
 
-// A worker at less than this share of the others' pace is slow: it gets a probe
-// or two at a time, and nothing else, so that a recovery shows.
+// A worker below this share of the others' pace is slow: it gets at most two
+// runs at a time, as probes that show a recovery.
 constexpr double kSlowShare = 0.4;
 constexpr size_t kSlowProbes = 2;
-// Between runs on a sick worker, doubled with each that goes badly: it should
-// be found well again within a second, and spoil few jobs until then.
+// Pause between runs on an unhealthy worker, doubled with each run that fails
+// or is moved off it: a recovery should be found within a second, and few jobs
+// affected until then.
 constexpr micros kMinProbePause = Millis(100);
 constexpr micros kMaxProbePause = Millis(800);
-// A worker that failed more than this share of its newest runs gets one at a
-// time. Failure guarded against: one that fails all at once looks free, and
-// would draw, and fail, every task there is.
+// A worker that failed more than this share of its newest runs gets one run at
+// a time. Failure guarded against: a worker that fails every run at once always
+// has free resources, and would get and fail every task.
 constexpr double kFailingShare = 0.5;
 constexpr size_t kFailingProbes = 1;
-constexpr uint32_t kMaxMoves = 2;  // of one task off slow workers
-// A move gains if the pace is below this share of the others', for the part of
-// the work that is left; at a standstill the task is better off waiting.
+// Times that one task is moved off slow workers.
+constexpr uint32_t kMaxMoves = 2;
+// A run is moved if the worker's pace is below the first share of the others'
+// pace, scaled by the part of the work that is left, and another worker has
+// capacity. Below the second share the worker has stalled: the run is stopped
+// even if its task has to wait for another worker.
 constexpr double kMoveBelowPaceShare = 0.7;
 constexpr double kStalledPaceShare = 0.15;
 
 }  // namespace
 
-// ---- [1] Room and pace ------------------------------------------------------
+// ---- [1] Resources and pace -------------------------------------------------
 
 lease_orders& OrdersFor(entry_state& s, worker_id id) {
   worker_row& w = s.workers[id.value];
@@ -60,8 +64,8 @@
 
 namespace {
 
-// Median of what the workers of the same upstream do, so that estimates which
-// are off for all make none look slow.
+// Median pace of the workers of an upstream. Compared with it, no worker looks
+// slow when the estimates are off for all of them.
 double UsualPace(const leased_state& l, const std::string& upstream) {
   std::vector<double> paces;
   for (const leased_worker& w : l.workers) {
@@ -100,7 +104,7 @@
 
 namespace {
 
-// Runs of this entry that the worker may have at once.
+// Maximum number of this entry's open runs on the worker.
 size_t OpenLimit(const entry_state& s, const leased_worker& w) {
   if (!IsUnhealthy(s, w))
     return SIZE_MAX;
@@ -114,15 +118,15 @@
   const int64_t left = free - need.cpu;
   return static_cast<double>(left) >=
              kSpareShare * static_cast<double>(w.info.capacity.cpu) ||
-         2 * free >= w.info.capacity.cpu;  // large tasks get their turn too
+         2 * free >= w.info.capacity.cpu;  // lets large tasks start too
 }
 
 }  // namespace
 
-// Failure guarded against: under overload all others are full, and whatever
-// waits goes to the worker on which all stands still, or fails, one after the
-// other. With one of eleven at a standstill and 0.9 of the load 0.97 instead of
-// 0.95 of the value is served (cassiaferry-emulate, sixteen seeds).
+// Failure guarded against: under overload all other workers are full, and each
+// waiting task in turn goes to the one where runs stall or fail. With one of
+// eleven workers stalled and 0.9 of the load, the pause serves 0.97 instead of
+// 0.95 of the value (cassiaferry-emulate, sixteen seeds).
 void RecordBadProbe(leased_worker& w, micros now) {
   w.probe_pause = std::clamp(micros{w.probe_pause.value * 2}, kMinProbePause,
                              kMaxProbePause);
@@ -149,7 +153,8 @@
 
 namespace {
 
-// Ends up to this number may be forgotten: what was stored, or needs not be.
+// The sidecar may forget ends up to this number: they are stored here or need
+// not be.
 uint64_t LastSavedEnd(const leased_worker& w) {
   return w.unsaved_ends.empty() ? w.acked_end : *w.unsaved_ends.begin() - 1;
 }
@@ -161,7 +166,7 @@
   }
 }
 
-// ---- [2] Runs that are lost -------------------------------------------------
+// ---- [2] Lost runs ----------------------------------------------------------
 
 void HandleConfirmedResolutions(leased_worker& w, uint64_t seen) {
   while (!w.open_resolutions.empty() &&
@@ -171,9 +176,9 @@
   }
 }
 
-// Failure guarded against: a sidecar is gone, or out of reach, with runs of
-// this entry. They are over, by the bounds of leases, some time after its last
-// word.
+// Failure guarded against: a sidecar is gone or out of reach, with runs of this
+// entry. By the bounds of leases, the runs are over some time after its last
+// report, so they are ended then.
 void EndOrphanedRuns(entry_state& s, micros now, worker_id id) {
   leased_worker& w = s.leased.workers[id.value];
   std::vector<run_ref> over;
@@ -187,7 +192,8 @@
     HandleRunEnd(s, now, id, {0, ref, run_end_kind::lost, 0});
 }
 
-// Until then what this entry has sent may keep its runs there alive.
+// Time at which this entry's runs on the worker are over. Until then its last
+// renewal may keep them alive.
 micros RunsOverAt(const entry_state& s, const leased_worker& w) {
   return std::max(w.report_received_at, w.owner_lease_renewed_at) +
          RunsOverAfter(s.leased.options.bounds);
@@ -218,8 +224,8 @@
 
 namespace {
 
-// Failure guarded against: the order to stop a run went down with the stream.
-// The run is still this entry's, and would go on.
+// Failure guarded against: the order to stop a run is lost with the stream, and
+// the run continues, because this entry still lists it as its own.
 bool IsBeingStopped(entry_state& s, leased_seq seq, const run_ref& ref) {
   leased_job* job = FindLeasedJob(s.leased, seq);
   const leased_task_row* row =
@@ -259,7 +265,7 @@
     open.sequence = ++w.resolutions_sent;
     first.resolved_ends.push_back(open.what);
   }
-  // Runs of an earlier life of the sidecar are not its to explain.
+  // Runs ordered from an earlier sidecar incarnation are unknown to this one.
   std::set<run_ref> earlier;
   for (const auto& [over_at, refs] : w.orphaned)
     earlier.insert(refs.begin(), refs.end());
@@ -311,9 +317,10 @@
   return false;
 }
 
-// A run on a slow worker is stopped if the task is sooner done elsewhere; its
-// end, once it is told, makes the task wait again. Never two runs at a time. On
-// a worker as fast as others a long run is just a long task, and stays.
+// Stops a run on a slow worker if the task would be done sooner elsewhere. The
+// task waits again only once the end of the run is reported, so two runs never
+// overlap. On a worker as fast as others a long run is just a long task and is
+// not moved.
 void MoveStraggler(entry_state& s,
                    micros now,
                    worker_id id,
@@ -387,11 +394,12 @@
 
 namespace {
 
-// A moment on the sidecar's clock that is not after this frame's sending: its
-// newest stamp. A pair that was idle has an old one, and the sidecar would
-// refuse a start by it; so a first start adds the time since the stamp came,
-// less what clocks may differ by. As this vouches for the run from now on, the
-// run counts as over later, too (RunsOverAt).
+// Returns a time on the sidecar's clock that is not later than the sending of
+// this frame: normally the newest stamp from the sidecar. After an idle period
+// that stamp is old, and the sidecar would refuse a start because of it. So for
+// a start the time since the stamp was received is added, less the possible
+// difference of clock rates. This renews the owner lease as of now, so the run
+// also counts as over later (RunsOverAt).
 int64_t EchoFor(leased_worker& w, micros now, micros heartbeat, bool starts) {
   constexpr double kLeastClockRate = 0.98;
   const micros age = now - w.report_received_at;
--- a/tests/closed_domains_unit_test.cc
+++ b/tests/closed_domains_unit_test.cc
@@ -1,10 +1,10 @@
-// Failure domains that operators close for new work.
+// Failure domains that operators close to new work.
 //
 // Contents
 //   [1] Versions
-//   [2] Reading
-//   [3] The gate
-//   [4] Calm
+//   [2] Reading from the store
+//   [3] Sidecar
+//   [4] Normal operation
 //   [5] Failures
 //   [6] Tasks without leases
 
@@ -25,8 +25,9 @@
   return {closed_domains_version{version}, std::move(domains)};
 }
 
-// Guards against news of a closing that overtake those of the reopening.
-TEST_CASE("closings_told_out_of_order_newest_holds") {
+// Guards against the message of a closing that arrives after that of the
+// reopening.
+TEST_CASE("closed_domains_received_out_of_order_newest_applies") {
   closed_domains_state s;
   CHECK(UpdateClosedDomainsFromPeer(s, MakeClosedDomains(20, {})) == false);
   CHECK(UpdateClosedDomainsFromPeer(s, MakeClosedDomains(10, {"a"})) == false);
@@ -35,51 +36,51 @@
   CHECK(IsClosed(s, "b"));
 }
 
-// Guards against a closing that is told by one who missed the reopening, to one
-// who missed both.
-TEST_CASE("closings_read_after_both_changes_older_closing_is_passed_over") {
+// Guards against a process that missed the reopening and sends the closing to
+// one that missed both.
+TEST_CASE("closed_domains_read_after_both_changes_older_message_ignored") {
   closed_domains_state s;
   UpdateClosedDomainsFromStore(s, MakeClosedDomains(5, {}));
   CHECK_FALSE(UpdateClosedDomainsFromStore(s, MakeClosedDomains(40, {})));
   CHECK_FALSE(UpdateClosedDomainsFromPeer(s, MakeClosedDomains(10, {"a"})));
   CHECK_FALSE(IsClosed(s, "a"));
-  // The other one is told.
+  // What it sends to the other process is the newer state.
   CHECK(s.known == MakeClosedDomains(40, {}));
 }
 
-// Guards against a process cut from the store that holds its old reading
-// against newer news.
-TEST_CASE("closings_told_newer_than_read_hold") {
+// Guards against a process cut off from the store that prefers its own older
+// read to a newer message.
+TEST_CASE("closed_domains_received_newer_than_read_apply") {
   closed_domains_state s;
   UpdateClosedDomainsFromStore(s, MakeClosedDomains(20, {}));
   CHECK(UpdateClosedDomainsFromPeer(s, MakeClosedDomains(30, {"a"})));
   CHECK(IsClosed(s, "a"));
-  // Its next reading is older than what it was told: a feed that lags.
+  // Its next read is older than the message: a feed that lags.
   CHECK_FALSE(UpdateClosedDomainsFromStore(s, MakeClosedDomains(25, {})));
   CHECK(IsClosed(s, "a"));
   CHECK(UpdateClosedDomainsFromStore(s, MakeClosedDomains(31, {})));
   CHECK_FALSE(IsClosed(s, "a"));
 }
 
-// Guards against readings of one state, each under its own number, that travel
+// Guards against reads of an unchanged state under new versions that are sent
 // to all processes.
-TEST_CASE("closings_read_unchanged_keep_their_number") {
+TEST_CASE("closed_domains_read_unchanged_keep_their_version") {
   closed_domains_state s;
   UpdateClosedDomainsFromStore(s, MakeClosedDomains(10, {"a"}));
   UpdateClosedDomainsFromStore(s, MakeClosedDomains(50, {"a"}));
   CHECK(s.known.version.value == 10);
 }
 
-// ---- [2] Reading ------------------------------------------------------------
+// ---- [2] Reading from the store ---------------------------------------------
 
-TEST_CASE("closings_read_whole_names_all_and_no_others") {
+TEST_CASE("closed_domains_complete_read_replaces_the_set") {
   const closed_domains before = MakeClosedDomains(1, {"a"});
   const closed_domains read =
       ClosedDomainsFromRows(before, {{"b", domain_status::closed}}, true, {9});
   CHECK(read == MakeClosedDomains(9, {"b"}));
 }
 
-TEST_CASE("closings_read_changes_others_stay") {
+TEST_CASE("closed_domains_partial_read_changes_named_domains_only") {
   const closed_domains before = MakeClosedDomains(1, {"a", "b"});
   const closed_domains read = ClosedDomainsFromRows(
       before, {{"b", domain_status::open}, {"c", domain_status::closed}}, false,
@@ -88,7 +89,7 @@
 }
 
 // Guards against an unreadable row that closes a domain, or opens one.
-TEST_CASE("closings_read_unreadable_changes_nothing") {
+TEST_CASE("closed_domains_unreadable_row_changes_nothing") {
   const closed_domains before = MakeClosedDomains(1, {"a"});
   for (bool whole : {false, true}) {
     const closed_domains read = ClosedDomainsFromRows(
@@ -99,7 +100,7 @@
   }
 }
 
-// ---- [3] The gate -----------------------------------------------------------
+// ---- [3] Sidecar ------------------------------------------------------------
 
 struct closed_lease_manager : manager_of_one_owner {
   static run_ref Ref(const std::string& job) { return {{job, 0, 0, 0}, 1}; }
@@ -113,7 +114,7 @@
 
   size_t StartsCalled() const { return Calls<call_run_start>().size(); }
 
-  // What the owner was told of the job's run; stopped: nothing yet.
+  // The end of the job's run as reported to the owner; stopped: none yet.
   run_end_kind EndOf(const std::string& job) {
     for (const reported_end& told : k.owners[kOwner].ends) {
       if (told.end.ref == Ref(job))
@@ -132,9 +133,8 @@
   CHECK(EndOf("late") == run_end_kind::never_started);
 }
 
-// Guards against a start that waits for room through the closing.
-TEST_CASE_METHOD(closed_lease_manager,
-                 "start_that_waits_at_closing_handed_back") {
+// Guards against a start that keeps waiting for resources after the closing.
+TEST_CASE_METHOD(closed_lease_manager, "start_waits_at_closing_returned") {
   Order("runs", 16'000, 10);
   Order("waits", 1000, 10);
   REQUIRE(k.waiting_starts.size() == 1);
@@ -144,8 +144,8 @@
   CHECK(StartsCalled() == 1);
 }
 
-// Guards against a closing that ends what runs.
-TEST_CASE_METHOD(closed_lease_manager, "run_at_closing_goes_on") {
+// Guards against a closing that ends running tasks.
+TEST_CASE_METHOD(closed_lease_manager, "run_at_closing_continues") {
   Order("runs", 1000, 100);
   HandleLeaseManagerEvent(
       k, now, run_start_answered{Ref("runs"), {"life"}, worker_answer::ok});
@@ -158,7 +158,7 @@
   CHECK(AcceptsLeasedWork(k, now));
 }
 
-// Guards against a worker that starts again in a closed domain and gets work.
+// Guards against a worker that restarts in a closed domain and gets work.
 TEST_CASE_METHOD(closed_lease_manager,
                  "worker_starts_again_while_closed_no_work") {
   SetClosed(k, true);
@@ -181,7 +181,7 @@
   CHECK(StartsCalled() == 0);
 }
 
-// ---- [4] Calm ---------------------------------------------------------------
+// ---- [4] Normal operation ---------------------------------------------------
 
 world_options TwoDomains() {
   world_options options;
@@ -192,7 +192,7 @@
 struct two_domains {
   two_domains() : w(TwoDomains()) { w.Pass(Millis(1500)); }
 
-  // A job of 80 ms on 2 cores each 10 ms: a quarter of the room of four
+  // A job of 80 ms on 2 cores every 10 ms: a quarter of the capacity of four
   // workers.
   void Load(int64_t ms) {
     for (int64_t i = 0; i < ms / 10; ++i) {
@@ -225,8 +225,8 @@
   int next = 0;
 };
 
-// Guards against starts in a domain that is closed, and against callers who are
-// refused though other domains have room.
+// Guards against starts in a closed domain, and against refusals although other
+// domains have capacity.
 TEST_CASE_METHOD(two_domains, "domain_closed_under_load_served_by_the_other") {
   Load(500);
   w.CloseDomain(0);
@@ -244,7 +244,7 @@
   RequireNothingBroken();
 }
 
-// Guards against one domain's opening that opens another.
+// Guards against the reopening of one domain that also reopens another.
 TEST_CASE_METHOD(two_domains, "domains_closed_overlapping_each_by_itself") {
   w.CloseDomain(0);
   Load(300);
@@ -262,8 +262,8 @@
   RequireNothingBroken();
 }
 
-// Guards against callers who wait while nobody may serve them, and against jobs
-// refused for good.
+// Guards against callers that wait while no worker may serve them, and against
+// permanent refusals.
 TEST_CASE_METHOD(two_domains, "domains_all_closed_refused_at_once") {
   w.CloseDomain(0);
   w.CloseDomain(1);
@@ -280,11 +280,12 @@
   RequireNothingBroken();
 }
 
-// Guards against what waits already and keeps its callers waiting.
-TEST_CASE_METHOD(two_domains, "job_waits_as_all_close_refused_at_once") {
+// Guards against jobs that already wait at the closing and keep their callers
+// waiting.
+TEST_CASE_METHOD(two_domains, "job_waits_all_domains_close_refused_at_once") {
   for (int i = 0; i < 4; ++i)
     w.Submit(MakeJob("runs-" + std::to_string(i), 4, 4000, 3000));
-  // All entries have heard that the workers are full.
+  // By now all entries know that the workers are full.
   w.Pass(Millis(1200));
   for (int i = 0; i < 8; ++i)
     w.Submit(MakeJob("waits-" + std::to_string(i), 1, 4000, 900));
@@ -292,7 +293,7 @@
   w.CloseDomain(0);
   w.CloseDomain(1);
   w.Pass(Millis(100));
-  // All that waits, and nothing else: what runs there goes on.
+  // All waiting jobs are refused; running ones continue.
   for (const auto& [id, job] : w.jobs) {
     INFO(id);
     CHECK(job.fate == (job.started ? job_fate::open : job_fate::refused));
@@ -301,8 +302,8 @@
   RequireNothingBroken();
 }
 
-// Guards against a report on its way at the closing, that says a worker there
-// takes work.
+// Guards against a report, in transit at the closing, that a worker there takes
+// work.
 TEST_CASE_METHOD(two_domains, "report_from_before_the_closing_places_nothing") {
   entry_state& entry = *w.entries[0].core;
   const worker_id worker = entry.worker_names.at("sidecar-0");
@@ -323,9 +324,10 @@
   CHECK(entry.leased.workers[worker.value].takes_work);
 }
 
-// Guards against a job refused as one that can never run, because the only
-// workers with its label are in a closed domain.
-TEST_CASE_METHOD(two_domains, "job_for_a_label_in_a_closed_domain_comes_back") {
+// Guards against a job refused as never runnable because the only workers with
+// its label are in a closed domain.
+TEST_CASE_METHOD(two_domains,
+                 "job_for_label_in_closed_domain_refused_then_runs") {
   w.workers[0].labels = {"kind-a"};
   w.workers[2].labels = {"kind-a"};
   w.Pass(Millis(1500));
@@ -348,9 +350,9 @@
 
 // ---- [5] Failures -----------------------------------------------------------
 
-// Guards against an entry that can't read the closing, and against one that has
-// missed the reopening.
-TEST_CASE_METHOD(two_domains, "entry_cut_from_store_learns_through_others") {
+// Guards against an entry that can't read the closing from the store, and then
+// misses the reopening.
+TEST_CASE_METHOD(two_domains, "entry_cut_from_store_updated_by_others") {
   w.CutFromStore(0, Millis(4000));
   w.CloseDomain(0);
   w.Pass(Millis(500));
@@ -361,9 +363,10 @@
   RequireNothingBroken();
 }
 
-// Guards against a sidecar that was out of reach, and entries that send it
-// starts before it has heard of the closing.
-TEST_CASE_METHOD(two_domains, "sidecar_cut_off_hears_before_it_starts") {
+// Guards against entries that send starts to a sidecar that was out of reach,
+// before it has received the closing.
+TEST_CASE_METHOD(two_domains,
+                 "sidecar_cut_off_updated_before_it_starts_tasks") {
   for (int entry = 0; entry < 3; ++entry)
     w.Cut(entry, 0, Millis(1500));
   w.Pass(Millis(200));
@@ -375,8 +378,8 @@
   RequireNothingBroken();
 }
 
-// Guards against a closing that is forgotten when all entries die while the
-// store is away: sidecars keep it.
+// Guards against a closing that is lost when all entries die while the store is
+// unavailable. The sidecars keep it.
 TEST_CASE_METHOD(two_domains, "entries_all_killed_store_away_still_closed") {
   w.CloseDomain(0);
   w.Pass(Millis(500));
@@ -393,7 +396,7 @@
   RequireNothingBroken();
 }
 
-// Guards against sidecars that start anew in a closed domain.
+// Guards against sidecars that restart in a closed domain and start tasks.
 TEST_CASE_METHOD(two_domains, "sidecars_killed_while_closed_still_closed") {
   w.CloseDomain(0);
   Load(300);
@@ -405,7 +408,7 @@
   RequireNothingBroken();
 }
 
-TEST_CASE("closings_on_seeded_days_nothing_broken", "[seeded]") {
+TEST_CASE("closed_domains_on_seeded_days_no_violation", "[seeded]") {
   for (uint64_t seed = 1; seed <= 12; ++seed) {
     day_options day;
     day.seed = seed;
@@ -442,7 +445,7 @@
   }
 };
 
-// Guards against tasks of the product's own jobs in a closed domain.
+// Guards against tasks of unleased jobs in a closed domain.
 TEST_CASE_METHOD(closed_domain_pair, "tasks_domain_closed_start_elsewhere") {
   for (auto& s : sidecars)
     CHECK(s.options.failure_domain.size() == 1);
@@ -465,10 +468,10 @@
   CHECK(Complete(2) != nullptr);
 }
 
-// Guards against an entry with older news than the sidecar: the start is handed
-// back, and the task runs elsewhere.
+// Guards against an entry whose state is older than the sidecar's: the start is
+// returned, and the task runs elsewhere.
 TEST_CASE_METHOD(closed_domain_pair,
-                 "tasks_sent_with_older_news_start_elsewhere") {
+                 "tasks_sent_with_older_state_start_elsewhere") {
   UpdateClosedDomainsFromPeer(sidecars[0].closed_domains, {{5}, {"0"}});
   Submit(1, MakeRequest(4));
   Advance(200);
@@ -482,7 +485,7 @@
 
 // Guards against tasks queued at a sidecar that stay there when its domain is
 // closed, or start there.
-TEST_CASE_METHOD(closed_domain_pair, "tasks_queued_at_closing_handed_back") {
+TEST_CASE_METHOD(closed_domain_pair, "tasks_queued_at_closing_returned") {
   Submit(1, MakeRequest(8));
   Advance(100);
   REQUIRE(running[0].size() == 4);
@@ -499,7 +502,7 @@
   CHECK(running[0].empty());
 }
 
-// Guards against callers who wait for a domain to be opened again.
+// Guards against callers that wait until a domain is reopened.
 TEST_CASE_METHOD(closed_domain_pair, "tasks_all_closed_refused_at_once") {
   CutStream(0);
   CutStream(1);
--- a/tests/idle_pairs_unit_test.cc
+++ b/tests/idle_pairs_unit_test.cc
@@ -1,11 +1,11 @@
-// Pairs of entry and sidecar without runs, which exchange few frames: what
-// starts there all the same, and what is believed of it.
+// Idle pairs of entry and sidecar, which exchange few frames: their first start
+// and when its run counts as over.
 //
 // Contents
 //   [1] Fixtures
 //   [2] Frames
 //   [3] First starts
-//   [4] Streams that are dead in one direction
+//   [4] Streams cut in one direction
 //   [5] Offers
 
 #include <catch2/catch.hpp>
@@ -62,7 +62,8 @@
   world w;
 };
 
-// A keeper with room for four tasks, and an owner that waits for some.
+// A lease manager with capacity for four tasks, and an owner that waits for
+// capacity.
 struct lease_manager_with_waiting_owner {
   lease_manager_with_waiting_owner()
       : k(MakeLeaseManager(lease_manager_options{})) {
@@ -98,7 +99,7 @@
     return {{{"job", 0, 0, index}, 1}, {4000, 10, 0}, 100, ""};
   }
 
-  // A report is due now; it is sent.
+  // Sends a pending report. Returns whether there was one.
   bool TakeDue() {
     if (!k.owners[kOwner].report_pending)
       return false;
@@ -113,10 +114,10 @@
 
 // ---- [2] Frames -------------------------------------------------------------
 
-// What a user sees: a small entry serves a third of what others do, with most
-// of its processor spent before the first job comes. Cause: each pair exchanges
-// a heartbeat 7.5 times a second in each direction, whether anything runs there
-// or not: 915 frames a second with 61 sidecars.
+// Guards against idle pairs that use up a small entry's processor, so that it
+// serves a third of what others do. With a heartbeat 7.5 times a second in each
+// direction, whether anything runs there or not, a pair of entry and sidecar
+// costs so much that 61 sidecars make 915 frames a second.
 TEST_CASE("system_without_jobs_exchanges_few_frames") {
   idle_system q(1, 61);
   const auto frames = [&] {
@@ -129,8 +130,8 @@
   CHECK(q.w.violations.empty());
 }
 
-// What a user sees: as above, under load. Cause: each of a job's tasks that
-// ends costs the entry a frame, though it can answer only after the last one.
+// Guards against the same under load: the end of each of a job's tasks costs
+// the entry a frame, although it can answer only after the last one.
 TEST_CASE_METHOD(lease_manager_with_waiting_owner,
                  "tasks_of_a_step_end_one_report_with_the_last") {
   Order({Start(0), Start(1), Start(2)});
@@ -160,10 +161,10 @@
 
 // ---- [3] First starts -------------------------------------------------------
 
-// What a user sees: the first request after a quiet second waits for a round
-// trip more than others. Order: the newest stamp that the entry has seen of the
-// sidecar is a second old, and a start that echoes it is refused as held up.
-TEST_CASE_METHOD(idle_system, "pair_idle_first_start_is_taken") {
+// Guards against a first request after an idle second that takes an additional
+// round trip: the newest stamp that the entry has from the sidecar is a second
+// old, and a start that echoes it is refused as delayed.
+TEST_CASE_METHOD(idle_system, "pair_idle_first_start_is_accepted") {
   for (int i = 0; i < 20; ++i) {
     Submit("job-" + std::to_string(i), 20);
     w.Pass(Millis(1370));
@@ -173,11 +174,11 @@
   CHECK(w.violations.empty());
 }
 
-// What a user sees: a task that runs twice at a time. Order: a start goes to a
-// sidecar last heard of a second ago, and vouches for the run from now on; the
-// sidecar's frames are held up, then it is frozen, and its worker runs on by
-// the lease. Cause: the entry counts the run as over by the sidecar's last word
-// alone, and starts the task elsewhere.
+// Guards against two runs of a task at once. A start goes to a sidecar whose
+// last report is a second old, and renews the owner lease as of now. The
+// sidecar's frames are delayed, then it is frozen, and its worker continues
+// under its lease. If the entry counted the run as over by the last report
+// alone, it would start the task elsewhere too early.
 TEST_CASE("pair_idle_then_cut_off_run_counts_as_over_by_its_start") {
   for (int64_t quiet_ms = 500; quiet_ms < 1500; quiet_ms += 50) {
     idle_system q(1, 2);
@@ -197,15 +198,15 @@
   }
 }
 
-// ---- [4] Streams that are dead in one direction -----------------------------
+// ---- [4] Streams cut in one direction ---------------------------------------
 
-// What a user sees: a request without an answer for seconds, beside idle
-// workers. Order: what the entry sends to one sidecar is held up, while that
-// one's reports keep coming, as another entry's jobs change its room; a start
-// goes there. Guard: a start that is not confirmed for as long as a silent
-// sidecar is believed closes the stream, and the task goes elsewhere when the
-// run would be over.
-TEST_CASE("orders_held_up_task_starts_elsewhere") {
+// Guards against a request that waits for seconds although workers are idle.
+// The entry's frames to one sidecar are delayed, while reports keep coming from
+// it, because another entry's jobs change its free resources; a start goes
+// there. A start that is not confirmed within the time after which a silent
+// sidecar counts as down closes the stream, and the task starts elsewhere once
+// the run is over.
+TEST_CASE("orders_delayed_task_starts_elsewhere") {
   idle_system q(2, 2);
   q.w.Cut(0, 0, Millis(6000), cut_ways::to_sidecar);
   for (int i = 0; i < 6; ++i)
@@ -223,17 +224,17 @@
 
 // ---- [5] Offers -------------------------------------------------------------
 
-// What a user sees: under load an entry short of processor time serves nothing.
-// Order: it waits for room; each of 61 workers offers it some every few
-// milliseconds, 1,000 frames a second; it answers none in time. Guard: after
-// each offer that comes to nothing the next one waits twice as long.
+// Guards against an entry short of processor time that serves nothing under
+// load. It waits for resources, each of 61 workers offers it some every few
+// milliseconds, 1,000 frames a second, and it answers none in time. So after
+// each unused offer the delay before the next one doubles.
 TEST_CASE_METHOD(lease_manager_with_waiting_owner,
-                 "offers_missed_come_less_often") {
+                 "offers_unused_become_rarer") {
   const auto offers_in = [&](micros time) {
     int offers = 0;
     const micros until = now + time;
     for (uint32_t i = 0; now < until; ++i, now = now + Millis(1)) {
-      // The room differs each time: the same is not offered twice.
+      // The free resources differ each time: the same are not offered twice.
       k.used.memory_mb = i % 2;
       Answer();
       offers += TakeDue() ? 1 : 0;
@@ -241,7 +242,7 @@
     return offers;
   };
   CHECK(offers_in(Millis(1000)) <= 8);
-  // One that it takes shows that it is there again.
+  // A start after an offer resets the delay.
   k.owners[kOwner].next_offer_at = now;
   k.used.memory_mb = 5;
   Answer();
--- a/tests/lateness_unit_test.cc
+++ b/tests/lateness_unit_test.cc
@@ -1,4 +1,4 @@
-// What an entry that acts late refuses, and what it says of that.
+// Refusals by an entry that is late, and how it logs them.
 //
 // Contents
 //   [1] Fixture
@@ -19,7 +19,7 @@
 
 // ---- [1] Fixture ------------------------------------------------------------
 
-// An entry with workers that have room, and frames that were late of late.
+// An entry with free workers, whose recent frames were late.
 struct late_entry {
   late_entry() : w(Options()) { w.Pass(Millis(1500)); }
 
@@ -31,7 +31,7 @@
 
   entry_state& Entry() const { return *w.entries[0].core; }
 
-  // For a second, so that as much is refused as may be.
+  // For a second, so that the refused share reaches its maximum.
   void ActLateBy(micros late) {
     lateness& l = Entry().leased.late;
     for (int i = 0; i < 10; ++i) {
@@ -42,7 +42,7 @@
     }
   }
 
-  // Of a hundred jobs of so much work.
+  // Number of jobs refused out of a hundred with so much work.
   int Refused(int64_t run_ms) {
     leased_job job;
     job.queue.name = kQueue;
@@ -62,11 +62,11 @@
 
 // ---- [2] Refusals -----------------------------------------------------------
 
-// What a user sees: in the first quiet seconds one request in four is refused,
-// with workers free and nobody late. Order: frames to an entry come 30 ms late
-// for a while; it refuses a share of all that comes, also of what could wait
-// for it and be in time. A task of 60 ms has 96 ms beside its work.
-TEST_CASE_METHOD(late_entry, "entry_late_job_with_time_for_it_is_taken") {
+// Guards against one request in four refused in the first quiet seconds,
+// although workers are free and nothing is late. Frames to an entry come 30 ms
+// late for a while, and it refuses a share of all jobs, even of those that
+// could wait for it and be in time. A task of 60 ms has 96 ms beside its work.
+TEST_CASE_METHOD(late_entry, "entry_late_job_with_time_to_spare_is_accepted") {
   ActLateBy(Millis(40));
   REQUIRE(Entry().leased.late.refuse_share > 0.5);
   CHECK(Refused(60) == 0);
@@ -79,16 +79,16 @@
   CHECK(Refused(900) == 0);
 }
 
-// Failure guarded against: an entry far behind takes what has time, falls back
-// further, and its runs lapse as their heartbeats wait.
+// Guards against an entry far behind that accepts jobs with time to spare,
+// falls back further, and loses its runs because their heartbeats wait.
 TEST_CASE_METHOD(late_entry, "entry_far_behind_long_jobs_are_refused_too") {
   ActLateBy(Millis(150));
   CHECK(Refused(900) > 70);
 }
 
-// What a user sees: requests are refused for seconds after the cause has gone.
+// Guards against requests refused for seconds after the cause has gone.
 TEST_CASE_METHOD(late_entry,
-                 "entry_in_time_again_refuses_nothing_a_second_on") {
+                 "entry_in_time_again_refuses_nothing_after_a_second") {
   ActLateBy(Millis(150));
   ActLateBy(Millis(1));
   CHECK(Refused(60) == 0);
@@ -97,8 +97,8 @@
 
 // ---- [3] Log ----------------------------------------------------------------
 
-// What an engineer on call sees: under load the lines of hundreds of refused
-// starts a second crowd out the others. One line tells of those of a report.
+// Guards against a log in which, under load, hundreds of lines a second about
+// refused starts hide all others. The refused starts of a report make one line.
 TEST_CASE_METHOD(late_entry, "starts_refused_together_logged_in_one_line") {
   Entry().actions.clear();
   std::vector<run_end> ends;
--- a/tests/leased_unit_test.cc
+++ b/tests/leased_unit_test.cc
@@ -2,12 +2,12 @@
 //
 // Contents
 //   [1] Fixture
-//   [2] Calm
-//   [3] Sick workers
+//   [2] Normal operation and bursts
+//   [3] Unhealthy workers
 //   [4] Failures of processes
-//   [5] Orders that get lost or come late
+//   [5] Lost and late orders
 //   [6] Seeded runs
-//   [7] Thin links
+//   [7] Slow links
 //   [8] Lasting overload
 
 #include <algorithm>
@@ -59,16 +59,16 @@
   }
 };
 
-// ---- [2] Calm ---------------------------------------------------------------
+// ---- [2] Normal operation and bursts ----------------------------------------
 
-TEST_CASE_METHOD(leased_jobs, "jobs_calm_completed_within_their_work") {
+TEST_CASE_METHOD(leased_jobs, "jobs_at_low_load_completed_in_their_run_time") {
   SubmitMany(20, 4, 1000, 100);
   w.Pass(Millis(400));
   REQUIRE(w.Count(job_fate::completed) == 20);
   RequireNothingBroken();
 }
 
-TEST_CASE_METHOD(leased_jobs, "step_that_waits_calm_starts_after_the_other") {
+TEST_CASE_METHOD(leased_jobs, "step_after_another_starts_when_it_is_done") {
   emulated_job job = MakeJob("two-steps", 3, 1000, 100);
   leased_step second = job.steps[0];
   second.after = {0};
@@ -80,7 +80,7 @@
   REQUIRE(w.Count(job_fate::completed) == 1);
 }
 
-TEST_CASE_METHOD(leased_jobs, "job_hopeless_failed_after_its_attempts") {
+TEST_CASE_METHOD(leased_jobs, "job_always_failing_failed_after_its_attempts") {
   emulated_job job = MakeJob("hopeless", 1, 1000, 20);
   job.hopeless = true;
   w.Submit(std::move(job));
@@ -92,34 +92,34 @@
   REQUIRE(starts == 3);
 }
 
-// What a user sees: a booking that could never be served is kept waiting until
-// the caller gives up. Cause: nobody compares what it needs with what workers
-// have.
+// Guards against a job that no worker can ever run and that waits until its
+// caller gives up, because its needs are not compared with the workers'
+// capacity.
 TEST_CASE_METHOD(leased_jobs, "job_larger_than_any_worker_refused_at_once") {
   w.Submit(MakeJob("huge", 1, 17'000, 20));
   w.Pass(Millis(20));
   REQUIRE(w.jobs["huge"].fate == job_fate::refused);
 }
 
-// What a user sees: under a burst, jobs wait until they are of no use, and then
-// run anyway. Order: 4 workers get ten times their load. Cause: no order and no
-// refusal. What can't be in time is refused, and never runs.
-TEST_CASE_METHOD(leased_jobs, "burst_beyond_room_refused_is_never_run") {
+// Guards against jobs that wait in a burst until their result is of no use, and
+// run nevertheless. 4 workers get ten times their load. Jobs that can't be in
+// time are refused and never run.
+TEST_CASE_METHOD(leased_jobs, "burst_beyond_capacity_refused_jobs_never_run") {
   SubmitMany(400, 4, 4000, 200);
   w.Pass(Millis(6000));
   REQUIRE(w.Count(job_fate::open) == 0);
   REQUIRE(w.Count(job_fate::refused) > 100);
-  // 16 tasks fit at a time; five rounds of 200 ms pass before the rest is of no
-  // use: 20 jobs of 4 tasks.
+  // 16 tasks fit at a time, and five rounds of 200 ms pass before the other
+  // jobs are of no use: 20 jobs of 4 tasks.
   REQUIRE(w.Count(job_fate::completed) >= 20);
   RequireNothingBroken();
 }
 
-// What a user sees: after an outage, when the first worker is back, callers are
-// told to come back later, though the others are back a moment after. Order:
-// all processes die; one sidecar is back first; callers come at once. Cause: by
-// what one worker can do, most of their jobs look hopeless.
-TEST_CASE("all_back_nothing_refused_while_workers_return") {
+// Guards against refusals after an outage when the first worker is back, though
+// the others return a moment later. All processes die, one sidecar returns
+// first, and callers send jobs at once: measured by the capacity of one worker,
+// most of the jobs could not be served in time.
+TEST_CASE("outage_over_nothing_refused_while_workers_return") {
   world_options options;
   options.announce_every = Millis(150);
   world w(options);
@@ -138,10 +138,11 @@
   REQUIRE(w.Count(job_fate::completed) == 32);
 }
 
-// Guards against jobs that are kept until their callers give up, though every
-// start of theirs was refused.
-TEST_CASE_METHOD(leased_jobs, "starts_all_refused_job_refused_when_hopeless") {
-  // All entries see the same room free.
+// Guards against jobs that are kept until their callers give up although all
+// their starts were refused.
+TEST_CASE_METHOD(leased_jobs,
+                 "starts_all_refused_job_refused_when_unservable") {
+  // All entries see the same free resources.
   for (int i = 0; i < 16; ++i)
     w.Submit(MakeJob("long-" + std::to_string(i), 2, 4000, 3000));
   SubmitMany(24, 1, 4000, 100);
@@ -159,11 +160,11 @@
   RequireNothingBroken();
 }
 
-// What a user sees: under a burst every job waits as long as it possibly can,
-// and half of them are then refused. Order: 4 workers get four times their load
-// for a second. What can't be served in time is refused by the work that stands
-// before it: half of the refusals within the time in which the job should have
-// been done.
+// Guards against a burst in which every job waits as long as it can and half
+// are refused only then. 4 workers get four times their load for a second. Jobs
+// that can't be served in time are refused because of the work ahead of them:
+// half of the refusals come within the time in which the job should have been
+// done.
 TEST_CASE_METHOD(leased_jobs, "burst_refusals_come_early") {
   for (int i = 0; i < 50; ++i) {
     SubmitMany(8, 2, 4000, 100);
@@ -183,7 +184,7 @@
   RequireNothingBroken();
 }
 
-// Workers 0 and 1 stand in rack "r1", the others in "r2".
+// Workers 0 and 1 are in rack "r1", the others in "r2".
 struct racked_jobs : leased_jobs {
   racked_jobs() {
     for (size_t i = 0; i < w.workers.size(); ++i)
@@ -209,10 +210,11 @@
   REQUIRE(StartsIn(2, 4) == 0);
 }
 
-// What a user sees: a job takes half as long again as it need, its data being
-// in another rack, with room where they are. When that is full others are
-// taken.
-TEST_CASE_METHOD(racked_jobs, "data_near_tasks_run_there_while_there_is_room") {
+// Guards against a job that takes half as long again because it runs away from
+// its data although workers near them are free. When those are full, others are
+// used.
+TEST_CASE_METHOD(racked_jobs,
+                 "label_preferred_tasks_run_there_while_capacity_lasts") {
   emulated_job job = MakeJob("fits", 8, 4000, 100);
   job.steps[0].preferred_label = "r1";
   w.Submit(std::move(job));
@@ -227,7 +229,7 @@
   REQUIRE(StartsIn(2, 4) == 4);
 }
 
-TEST_CASE_METHOD(racked_jobs, "most_per_worker_is_kept") {
+TEST_CASE_METHOD(racked_jobs, "max_per_worker_is_not_exceeded") {
   emulated_job job = MakeJob("job", 10, 500, 300);
   job.steps[0].max_per_worker = 2;
   w.Submit(std::move(job));
@@ -239,9 +241,10 @@
   REQUIRE(w.Count(job_fate::completed) == 1);
 }
 
-// What a user sees: a job that fits every worker is refused for good. Order:
-// the workers' room shrinks for a second, the job comes, the room grows again.
-TEST_CASE_METHOD(leased_jobs, "room_small_for_a_while_job_waits_and_is_done") {
+// Guards against a job that fits every worker and is refused for good because
+// it arrives while the workers' capacity is smaller for a second.
+TEST_CASE_METHOD(leased_jobs,
+                 "capacity_small_for_a_while_job_waits_and_completes") {
   const resources whole = w.options.capacity;
   w.options.capacity = {2000, 8192, 0};
   w.Pass(Millis(2500));
@@ -254,11 +257,11 @@
   RequireNothingBroken();
 }
 
-// ---- [3] Sick workers -------------------------------------------------------
+// ---- [3] Unhealthy workers --------------------------------------------------
 
-// What a user sees: one booking in four hangs until its caller gives up. Order:
-// all that runs on one worker stands still, while it announces itself and takes
-// every start. Guard: the pace of its runs tells, and its runs are moved.
+// Guards against one job in four that hangs until its caller gives up. All runs
+// on one worker stall, while it announces itself and accepts every start. It is
+// detected by the pace of its runs, and these are moved.
 TEST_CASE_METHOD(leased_jobs, "worker_hangs_jobs_completed_elsewhere") {
   w.workers[0].hangs = true;
   for (int i = 0; i < 40; ++i) {
@@ -270,8 +273,8 @@
   RequireNothingBroken();
 }
 
-// What a user sees: a quarter of the bookings takes six times as long. Order:
-// one worker turns slow. Guard: it gets a probe at a time.
+// Guards against a quarter of the jobs taking six times as long because one
+// worker becomes slow. It gets only probes.
 TEST_CASE_METHOD(leased_jobs, "worker_slow_gets_probes_only") {
   w.workers[0].slowness = 6;
   for (int i = 0; i < 60; ++i) {
@@ -282,7 +285,7 @@
   REQUIRE(w.Count(job_fate::completed) == 60);
   REQUIRE(w.workers[0].starts < 30);
   REQUIRE(w.workers[1].starts > 60);
-  // It is well again: the probes show it.
+  // The probes show that it has recovered.
   w.workers[0].slowness = 1;
   const uint64_t before = w.workers[0].starts;
   for (int i = 0; i < 60; ++i) {
@@ -292,9 +295,9 @@
   REQUIRE(w.workers[0].starts > before + 20);
 }
 
-// What a user sees: jobs fail that nothing is wrong with. Order: a worker fails
-// all it starts, at once, so it always has the most room. Guard: it gets one
-// run at a time, so that few tasks meet it twice.
+// Guards against failures of jobs that have no fault themselves. A worker fails
+// every run at once, so it always has the most free resources. It gets one run
+// at a time, so that few tasks run on it twice.
 TEST_CASE_METHOD(leased_jobs, "worker_fails_all_jobs_completed_elsewhere") {
   w.workers[0].fails_all = true;
   for (int i = 0; i < 60; ++i) {
@@ -306,8 +309,8 @@
   RequireNothingBroken();
 }
 
-// What a user sees: a refusal from an entry that had seconds left to serve.
-// Order: the entry is told to stop; a caller uses its open connection once
+// Guards against a refusal by a stopping entry that still has seconds left to
+// serve. The entry is told to stop, and a caller uses its open connection once
 // more, 3 s later. A short job still fits into the time to stop; a long one
 // does not.
 TEST_CASE_METHOD(leased_jobs, "entry_stopping_takes_what_it_can_still_finish") {
@@ -326,8 +329,8 @@
   REQUIRE(w.jobs["long"].fate == job_fate::refused);
 }
 
-// Guards against refusals of jobs that the time to stop has room for, because
-// their worst end is past it.
+// Guards against refusals of jobs that fit into the time to stop, because their
+// latest possible end is after it.
 TEST_CASE_METHOD(leased_jobs, "entry_stopping_takes_long_jobs_that_fit") {
   entry_state& entry = *w.entries[0].core;
   entry.options.leased.drain_accept = Millis(2400);
@@ -346,10 +349,10 @@
   RequireNothingBroken();
 }
 
-// What a user sees: a job hangs until its caller gives up. Order: a worker goes
-// silent for good while it runs a task; its sidecar goes on asking. Cause: each
-// look that gets no answer grants a lease anew, so the run never counts as
-// over.
+// Guards against a job that hangs until its caller gives up. A worker becomes
+// silent for good while it runs a task, and its sidecar keeps polling it. If
+// each unanswered status poll counted as a new lease, the run would never count
+// as over.
 TEST_CASE_METHOD(leased_jobs, "worker_silent_for_good_its_runs_move_on") {
   w.Submit(MakeJob("job", 2, 1000, 600));
   w.Pass(Millis(100));
@@ -359,12 +362,12 @@
   RequireNothingBroken();
 }
 
-// What a user sees: a task of many seconds starts again and again. Order: it
-// runs as fast as expected, and its worker reports whole percents; a look
-// sooner than the next percent shows nothing done. Cause: that counts as a
-// standstill.
+// Guards against a task of many seconds that is started again and again. It
+// runs as fast as expected, and its worker reports whole percents. A status
+// poll before the next percent shows no progress, which must not count as a
+// stall.
 TEST_CASE_METHOD(one_lease_manager,
-                 "run_of_many_seconds_on_a_sound_worker_is_no_straggler") {
+                 "run_of_many_seconds_on_a_healthy_worker_is_no_straggler") {
   const std::vector<std::string> jobs = {"a", "b", "c"};
   for (const std::string& job : jobs) {
     lease_orders orders = Order(job, 1);
@@ -397,10 +400,10 @@
 
 // ---- [4] Failures of processes ----------------------------------------------
 
-// What a user sees: a confirmed field booked twice. Order: the entry that took
-// the job dies; the caller sends it again to another entry 1.3 s later, while
-// the first entry's runs still go on. Guard: nobody vouches for them any more,
-// and the sidecars stop them before that.
+// Guards against a job that runs twice at once. The entry that accepted it
+// dies, and the caller sends it to another entry 1.3 s later, while the first
+// entry's runs continue. Their owner lease is not renewed any more, so the
+// sidecars stop them before that.
 TEST_CASE_METHOD(leased_jobs,
                  "entry_killed_its_runs_are_over_before_a_resend") {
   w.SubmitTo(0, MakeJob("long", 4, 1000, 5000));
@@ -414,10 +417,10 @@
   RequireNothingBroken();
 }
 
-// What a user sees: the same double run. Order: the sidecar is frozen with the
-// runs of an entry that dies; nobody tells the worker to stop. Guard: the
-// worker's lease lapses, as only the sidecar extends it.
-TEST_CASE_METHOD(leased_jobs, "sidecar_frozen_and_entry_killed_lease_lapses") {
+// Guards against the same when the sidecar is frozen too: nothing tells the
+// worker to stop the runs of the entry that died. The worker's lease expires,
+// because only the sidecar extends it.
+TEST_CASE_METHOD(leased_jobs, "sidecar_frozen_and_entry_killed_lease_expires") {
   w.SubmitTo(0, MakeJob("long", 1, 1000, 5000));
   w.Pass(Millis(100));
   const int worker = WorkerOf("long");
@@ -430,9 +433,9 @@
   RequireNothingBroken();
 }
 
-// What a user sees: a job hangs until its caller gives up. Order: the sidecar
-// is frozen beyond its worker's lease; its entry can't learn what became of the
-// runs. Guard: after the bound on all leases the entry starts them elsewhere.
+// Guards against a job that hangs until its caller gives up. The sidecar is
+// frozen beyond its worker's lease, so its entry can't learn the outcome of the
+// runs. After the bound on all leases the entry starts the tasks elsewhere.
 TEST_CASE_METHOD(leased_jobs,
                  "sidecar_frozen_runs_start_elsewhere_after_bound") {
   w.SubmitTo(0, MakeJob("long", 1, 1000, 300));
@@ -443,9 +446,10 @@
   RequireNothingBroken();
 }
 
-// Order: the sidecar is killed while its worker runs tasks. The next one knows
-// nothing of them: it starts nothing until they are stopped.
-TEST_CASE_METHOD(leased_jobs, "sidecar_killed_room_never_exceeded") {
+// Guards against a worker over its capacity after its sidecar is killed while
+// tasks run. The next sidecar doesn't know them: it starts nothing until they
+// are stopped.
+TEST_CASE_METHOD(leased_jobs, "sidecar_killed_capacity_never_exceeded") {
   for (int round = 0; round < 5; ++round) {
     SubmitMany(30, 4, 3000, 400);
     w.Pass(Millis(200));
@@ -457,9 +461,9 @@
   RequireNothingBroken();
 }
 
-// Order: the worker dies and comes back as a new life with the runs of the old
-// one lost. The owner hears so with the new life's first announcement.
-TEST_CASE_METHOD(leased_jobs, "worker_back_with_new_life_tasks_run_again") {
+// The worker dies and returns with a new session, and the runs of the old one
+// are lost. The owner learns this with the new session's first announcement.
+TEST_CASE_METHOD(leased_jobs, "worker_back_with_new_session_tasks_run_again") {
   w.SubmitTo(0, MakeJob("long", 8, 1000, 2000));
   w.Pass(Millis(100));
   w.CrashWorker(WorkerOf("long"), Millis(300));
@@ -468,8 +472,8 @@
   RequireNothingBroken();
 }
 
-// Order: all entries die at once and come back. Callers send again, and all is
-// served.
+// All entries die at once and restart. Callers send their jobs again, and all
+// are served.
 TEST_CASE_METHOD(leased_jobs, "all_entries_killed_resent_jobs_completed") {
   SubmitMany(20, 2, 1000, 300);
   w.Pass(Millis(50));
@@ -480,9 +484,9 @@
   RequireNothingBroken();
 }
 
-// What a user sees: a job that was sent again runs twice. Order: the entry is
-// frozen, its caller's connection breaks, another entry takes the job; then the
-// first wakes with the job still waiting for a worker.
+// Guards against a job that runs twice after it is sent again. The entry is
+// frozen, its caller's connection breaks, and another entry accepts the job;
+// then the first one wakes with the job still waiting for a worker.
 TEST_CASE_METHOD(leased_jobs, "entry_frozen_and_caller_gone_nothing_restarts") {
   for (int i = 0; i < 8; ++i)
     w.SubmitTo(0, MakeJob("long-" + std::to_string(i), 2, 1000, 3000));
@@ -496,10 +500,10 @@
   RequireNothingBroken();
 }
 
-// What a user sees: a job that was sent again runs twice. Order: an entry wakes
-// from a pause so short that its streams are still up; the end of a caller's
-// connection lies unread in its sockets. Guard: nothing starts until it had the
-// time to read them.
+// Guards against a job that runs twice after it is sent again. An entry wakes
+// from a pause so short that its streams are still up, with the end of a
+// caller's connection unread in a socket. Nothing starts until it has had the
+// time to read its sockets.
 TEST_CASE_METHOD(leased_jobs, "entry_paused_starts_nothing_until_it_has_read") {
   w.Pass(Millis(50));
   w.FreezeEntry(0, Millis(380));
@@ -510,10 +514,11 @@
   REQUIRE(WorkerOf("early") >= 0);
 }
 
-// What a user sees: a worker over its room, or a task that runs twice. Order: a
-// start lies in the network for seconds; its owner has given it up, and started
-// the task elsewhere. It echoes a stamp that is too old to be taken.
-TEST_CASE_METHOD(one_lease_manager, "order_with_an_old_stamp_is_not_started") {
+// Guards against a worker over its capacity, or a task that runs twice. A start
+// is delayed in the network for seconds, until its owner has given it up and
+// started the task elsewhere. The stamp that it echoes is too old, so it is
+// refused.
+TEST_CASE_METHOD(one_lease_manager, "start_with_an_old_stamp_is_refused") {
   now = now + Millis(2000);
   AnswerPoll({});
   lease_orders stale = Order("late", 1);
@@ -527,10 +532,10 @@
   REQUIRE(Calls<call_run_start>().size() == 1);
 }
 
-// What a user sees: a task that runs twice. Order: the first copy of a start
-// gets no answer, the second is refused for want of room; the owner starts the
-// task elsewhere; then the first copy is carried out. Guard: the run is stopped
-// first, which keeps a late copy out for good.
+// Guards against a task that runs twice. The first copy of a start gets no
+// answer, the second is refused for lack of capacity, and the owner starts the
+// task elsewhere; then the first copy is carried out. So the run is stopped
+// before the refusal is reported, which makes the worker reject a late copy.
 TEST_CASE_METHOD(one_lease_manager,
                  "start_refused_after_a_lost_copy_is_stopped_first") {
   HandleLeaseOrders(k, now, kOwner, Order("job", 1));
@@ -550,10 +555,11 @@
   REQUIRE(report.ends[0].kind == run_end_kind::stopped);
 }
 
-// Order: the clock of this machine went back between two sidecars, and the
-// second's fence is below what the worker has seen. It rises until it is taken.
+// The machine's clock went back between two sidecar processes, so the second
+// one's fence is below the one that the worker has seen. It is raised until the
+// worker accepts it.
 TEST_CASE_METHOD(one_lease_manager,
-                 "fence_below_what_was_seen_rises_and_start_repeats") {
+                 "fence_below_the_seen_one_is_raised_and_start_repeated") {
   HandleLeaseOrders(k, now, kOwner, Order("job", 1));
   const uint64_t fence = Calls<call_run_start>().back().fence;
   HandleLeaseManagerEvent(
@@ -563,13 +569,13 @@
   REQUIRE(Calls<call_run_start>().back().fence > fence);
 }
 
-// What a user sees: a task that was done counts twice. Order: a sidecar dies,
-// and its successor is told that an end it finds came too late, so that the
-// lease must lapse first; it has granted none itself. Cause: the lease that the
-// dead one granted still holds, and may be the longest that a worker accepts:
-// granted by the clock of an earlier life, unnoticed.
+// Guards against a finished task that counts twice. A sidecar dies, and its
+// successor gets the order that an end it found came too late, so the worker's
+// lease must expire first. The successor has granted no lease itself, but the
+// one granted by the dead sidecar still holds. It may be the longest that a
+// worker accepts, because it was granted by the clock of an earlier session.
 TEST_CASE_METHOD(one_lease_manager,
-                 "end_too_late_waits_for_the_lease_granted_before") {
+                 "end_too_late_waits_for_the_lease_of_the_previous_sidecar") {
   k.options.holds_unknown_ends = true;
   const auto seen_in_next_look = [&] {
     k.actions.clear();
@@ -604,9 +610,10 @@
   REQUIRE(seen_at(lapsed + k.options.bounds.margin) == 1);
 }
 
-// Order: an announcement of the worker's last life was held up by a cut, and
-// arrives after the new life's.
-TEST_CASE_METHOD(one_lease_manager, "announcement_of_a_past_life_is_ignored") {
+// An announcement of the worker's previous session is delayed by a cut and
+// arrives after that of the new session.
+TEST_CASE_METHOD(one_lease_manager,
+                 "announcement_of_a_past_session_is_ignored") {
   HandleLeaseManagerEvent(k, now, Announcement("second"));
   poll_answered over;
   over.number = k.open_poll;
@@ -618,14 +625,14 @@
   const size_t looks = Calls<call_poll>().size();
   HandleLeaseManagerEvent(k, now, Announcement("life"));
   REQUIRE(k.worker.session.id == "second");
-  REQUIRE(Calls<call_poll>().size() == looks);  // it isn't asked about either
+  REQUIRE(Calls<call_poll>().size() == looks);  // nor is the old session polled
 }
 
-// What a user sees: jobs of an entry that never end, though their tasks do.
-// Order: the sidecar forgets the entry (a goodbye, or a minute of silence); the
-// entry comes back, and has had more ends than the sidecar now counts.
+// Guards against jobs that never end although their tasks do. The sidecar
+// forgets the entry (after a shutdown notice or a minute of silence), the entry
+// returns, and it has received more ends than the sidecar now counts.
 TEST_CASE_METHOD(one_lease_manager,
-                 "owner_forgotten_and_back_ends_are_numbered_on") {
+                 "owner_forgotten_and_back_end_numbers_continue") {
   ForgetOwner(k, kOwner);
   lease_orders orders = Order("job", 1);
   orders.is_first = true;
@@ -639,8 +646,10 @@
   REQUIRE(report.ends[0].number == 11);
 }
 
-// While calls get lost, looks are short: a lost one leaves ends unseen.
-TEST_CASE_METHOD(one_lease_manager, "look_lost_the_next_ones_wait_shorter") {
+// While calls get lost, status polls are short, because a lost one leaves ends
+// unseen.
+TEST_CASE_METHOD(one_lease_manager,
+                 "status_poll_lost_the_next_ones_wait_shorter") {
   HandleLeaseOrders(k, now, kOwner, Order("job", 1));
   AnswerPoll({});
   const int64_t calm = Calls<call_poll>().back().wait_ms;
@@ -653,10 +662,10 @@
   REQUIRE(Calls<call_poll>().back().wait_ms < calm / 4);
 }
 
-// Order: the path between an entry and one sidecar is cut for 3 s; frames are
-// held up, not lost, and arrive when it heals. Orders among them are too old to
-// be taken.
-TEST_CASE_METHOD(leased_jobs, "link_cut_held_up_orders_are_not_taken") {
+// The path between an entry and one sidecar is cut for 3 s. Frames are delayed,
+// not lost, and arrive when it heals; the orders among them are too old to be
+// accepted.
+TEST_CASE_METHOD(leased_jobs, "link_cut_delayed_orders_are_refused") {
   for (int i = 0; i < 30; ++i) {
     SubmitMany(3, 4, 2000, 150);
     if (i % 10 == 2)
@@ -678,13 +687,13 @@
   REQUIRE(w.Count(job_fate::completed) == 40);
 }
 
-// ---- [5] Orders that get lost or come late ----------------------------------
+// ---- [5] Lost and late orders -----------------------------------------------
 
-// What a user sees: a task that runs twice, or a worker over its room. Order: a
-// start gets no answer; it is sent again, or given up; seconds later the first
-// copy is carried out. Guards: the same run number is the same run, a stop
-// marks it as over, and the lease named in a late copy has passed.
-TEST_CASE_METHOD(leased_jobs, "orders_late_never_two_runs_or_over_room") {
+// Guards against a task that runs twice, or a worker over its capacity. A start
+// gets no answer and is sent again, or given up; seconds later the first copy
+// is carried out. A copy with the same run number is the same run, a stop marks
+// the run as over, and the lease named in a late copy has expired.
+TEST_CASE_METHOD(leased_jobs, "orders_late_never_two_runs_or_over_capacity") {
   for (emulated_worker& worker : w.workers)
     worker.late_share = 0.2;
   for (int i = 0; i < 100; ++i) {
@@ -714,7 +723,7 @@
     AddProcessFault(w, Millis(static_cast<int64_t>(w.random() % 4000)));
 }
 
-TEST_CASE("world_seeded_faults_no_promise_broken") {
+TEST_CASE("world_seeded_faults_no_violation") {
   for (uint64_t seed = 1; seed <= 25; ++seed) {
     world_options options;
     options.seed = seed;
@@ -740,10 +749,10 @@
   }
 }
 
-// ---- [7] Thin links ---------------------------------------------------------
+// ---- [7] Slow links ---------------------------------------------------------
 
-// Three entries on links of 2 Mbit/s, with the new customer's payloads: 34 jobs
-// a second and entry of 3.6 tasks, 1 to 2.4 kB each.
+// Three entries on links of 2 Mbit/s. Each gets 34 jobs a second of 3.6 tasks,
+// with payloads of 1 to 2.4 kB.
 struct thin_links {
   static world_options Options(uint64_t seed) {
     world_options options;
@@ -757,7 +766,7 @@
     w.Pass(Millis(1500));
   }
 
-  // The named times the load of the calm hour, for so long.
+  // Submits jobs at `times` the normal load for this time.
   void Load(double times, micros time) {
     std::exponential_distribution<double> gap(0.034 * 3 * times);
     const micros until = w.now + time;
@@ -804,11 +813,12 @@
 
 constexpr uint64_t kThinSeeds = 8;
 
-// What a user sees: on a calm day one job in fifty is answered, workers idle.
-// Order: entries of 2 Mbit/s get bursts of 1.3 times their load. Cause: each
-// task takes a copy of its job's payload to a sidecar of its own and the link
-// fills; what keeps runs alive stands behind it, runs lapse and are sent again.
-TEST_CASE("link_thin_calm_load_served_in_time") {
+// Guards against one job in fifty answered at a normal load, with idle workers.
+// Entries with 2 Mbit/s get bursts of 1.3 times their load. If each task takes
+// a copy of its job's payload to a different sidecar, the link fills up, the
+// frames that keep runs alive wait behind it, and runs expire and are sent
+// again.
+TEST_CASE("link_slow_normal_load_served_in_time") {
   double in_time = 0;
   for (uint64_t seed = 1; seed <= kThinSeeds; ++seed) {
     thin_links t(seed);
@@ -825,9 +835,10 @@
   CHECK(in_time >= 0.955);
 }
 
-// Seeds on which starts that waited for room at their worker, without a word to
-// their entry, let it find its link full too late: runs were stopped.
-TEST_CASE("link_thin_starts_wait_no_run_is_stopped") {
+// Guards against runs stopped because starts wait for resources at their worker
+// and the entry isn't informed: it then detects too late that its link is full.
+// It happened with these seeds.
+TEST_CASE("link_slow_starts_wait_no_run_is_stopped") {
   for (uint64_t seed : {4, 14}) {
     thin_links t(seed);
     t.Load(1.0, Millis(4000));
@@ -840,11 +851,12 @@
   }
 }
 
-// What a user sees: a burst of five seconds, and nothing is served long after.
-// Order: three times the load for 5 s; the links are full all the while, then
-// it is calm again. What can't be sent in time is refused at once; 3 s later
-// all is served as before. Frames never wait for as long as a vouch lasts.
-TEST_CASE("link_overrun_for_seconds_serves_again_after") {
+// Guards against an entry that serves nothing long after a burst of five
+// seconds. Three times the load for 5 s keeps the links full; then the load is
+// normal again. Jobs that can't be sent in time are refused at once, and 3 s
+// later all are served as before. Frames never wait for as long as an owner
+// lease lasts.
+TEST_CASE("link_overloaded_for_seconds_serves_again_after") {
   double in_time = 0;
   double mean_wait_ms = 0;
   for (uint64_t seed = 1; seed <= kThinSeeds; ++seed) {
@@ -870,10 +882,10 @@
 
 // ---- [8] Lasting overload ---------------------------------------------------
 
-// The new customer's mix on three entries and six workers of 32 cores.
+// Jobs of three queues on three entries and six workers of 32 cores.
 struct overload_result {
-  double in_time = 0;     // share of all that was asked
-  uint64_t on_first = 0;  // runs that worker 0 was given
+  double in_time = 0;     // share of all jobs
+  uint64_t on_first = 0;  // runs started on worker 0
   size_t violations = 0;
 };
 
@@ -930,11 +942,11 @@
   return sum;
 }
 
-// Load: 1.4 times what fits, for 5 s. What a user sees: half of the bookings
-// are late, or refused after a wait, though two of three could be served in
-// time. Cause: each waits until its slack is gone and is then late by any
-// error, in room that the next one needed.
-TEST_CASE("overload_lasting_what_would_be_late_makes_way") {
+// Guards against half of the jobs being late, or refused after a wait, although
+// two of three could be served in time. The load is 1.4 times what fits, for
+// 5 s. If each job waits until its slack is gone, any error makes it late, and
+// it uses capacity that the next one needed.
+TEST_CASE("overload_lasting_refusing_late_jobs_gains") {
   const auto useful = PlayOverloads(1.4, leased_admission::useful, false);
   const auto in_time = PlayOverloads(1.4, leased_admission::in_time, false);
   INFO("in time: " << useful.in_time << ", " << in_time.in_time);
@@ -942,9 +954,9 @@
   CHECK(in_time.violations + useful.violations == 0);
 }
 
-// What a user sees: under overload one booking in ten hangs. Order: all stands
-// still on one worker of six; the others are full, so whatever waits goes there
-// again and again. Guard: after a run that had to be moved the next one waits.
+// Guards against one job in ten that hangs under overload. All runs on one
+// worker of six stall, and the others are full, so waiting tasks go there again
+// and again. After a run had to be moved off it, the next one is delayed.
 TEST_CASE("overload_worker_hangs_gets_few_runs") {
   const auto sick = PlayOverloads(1.2, leased_admission::in_time, true);
   INFO("runs on it: " << sick.on_first << ", in time: " << sick.in_time);
@@ -952,10 +964,10 @@
   CHECK(sick.violations == 0);
 }
 
-// What a user sees: callers that were refused in a burst come back all at once,
-// and are refused again. They are told when the work that waits is done, spread
-// over half as long again, and longer the more there is.
-TEST_CASE_METHOD(leased_jobs, "refused_told_when_backlog_drains_spread") {
+// Guards against callers that are refused in a burst, return all at once and
+// are refused again. The retry time is the time until the waiting work is done,
+// with a random part of up to half of it.
+TEST_CASE_METHOD(leased_jobs, "refused_retry_after_backlog_drains_spread") {
   const auto refused = [&](int count) {
     w.retry_after_ms.clear();
     SubmitMany(count, 4, 4000, 200);
--- a/tests/small_entries_unit_test.cc
+++ b/tests/small_entries_unit_test.cc
@@ -16,8 +16,8 @@
 // ---- [1] The deployment -----------------------------------------------------
 
 // Ten entries in four failure domains: two of 0.5 and one of 0.12 cores in each
-// of the first two domains, two of 0.12 cores in each of the others. 61
-// workers, which callers load alike from all domains.
+// of the first two domains, two of 0.12 cores in each of the others. Callers in
+// all domains load the 61 workers equally.
 struct small_entries {
   load_options Load(uint64_t seed, double load) const {
     load_options o;
@@ -34,21 +34,21 @@
   }
 };
 
-// Of what the domain's callers are owed.
+// Value earned for the domain's callers, as a share of the value possible.
 double Earned(const play_result& result, size_t domain) {
   return result.domains[domain].earned / result.domains[domain].owed;
 }
 
 // ---- [2] Full load ----------------------------------------------------------
 
-// What a user sees: at a load that the workers just fit, most requests of two
-// of the four failure domains are late, refused or held to their deadline; the
-// other two domains are served. Order: these two have small entries alone; each
-// end of a task and each heartbeat of 61 sidecars costs an entry a frame, of
-// use or not; the small ones' processors are full with frames, and callers'
-// requests wait in sockets. Evidence: such an entry takes and sends 455 frames
-// a second without any load, takes 1,650 at 130 jobs a second, and its jobs
-// stay for 1 s instead of 0.23; with 0.5 cores, links as thin, they don't.
+// Guards against a load that the workers just fit but that leaves most requests
+// of two of the four failure domains late, refused or held until their
+// deadline, while the other two domains are served. The two have only small
+// entries. If each end of a task and each heartbeat of 61 sidecars costs an
+// entry a frame, frames fill the processors of the small ones and callers'
+// requests wait in sockets. Such an entry sends and receives 455 frames a
+// second without any load and receives 1,650 at 130 jobs a second, and its jobs
+// take 1 s instead of 0.23; with 0.5 cores and equally slow links they don't.
 TEST_CASE_METHOD(small_entries, "entries_small_full_load_served_as_elsewhere") {
   constexpr uint64_t kSeeds = 3;
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
