--- a/include/cassiaferry/closed_domains.h
+++ b/include/cassiaferry/closed_domains.h
@@ -56,11 +56,10 @@
 // Builds the set as of `version` from one response of the store. If the
 // response is complete, a domain without a row is open; otherwise it keeps its
 // status. An unreadable row changes nothing: a closed domain stays closed.
-closed_domains ClosedDomainsFromRows(
-    const closed_domains& before,
-    const std::vector<domain_status_row>& words,
-    bool whole,
-    closed_domains_version version);
+closed_domains ClosedDomainsFromRows(const closed_domains& before,
+                                     const std::vector<domain_status_row>& rows,
+                                     bool complete,
+                                     closed_domains_version version);
 
 // ---- [3] Updates ------------------------------------------------------------
 
@@ -76,7 +75,7 @@
 // that missed the reopening then sends the closed state. Its version is lower
 // than that of the read, so it is ignored.
 bool UpdateClosedDomainsFromPeer(closed_domains_state& s,
-                                 const closed_domains& told);
+                                 const closed_domains& received);
 
 bool IsClosed(const closed_domains_state& s, const std::string& domain);
 
--- a/include/cassiaferry/leased_jobs.h
+++ b/include/cassiaferry/leased_jobs.h
@@ -174,7 +174,7 @@
   std::set<uint64_t>
       // Ends handled but not stored yet: neither they nor later ones are
       // acknowledged.
-          unsaved_ends;
+      unsaved_ends;
   std::deque<open_resolution> open_resolutions;
   uint64_t resolutions_sent = 0;  // on this stream
   uint64_t sidecar_incarnation =
--- a/src/core/closed_domains.cc
+++ b/src/core/closed_domains.cc
@@ -18,20 +18,19 @@
 
 }  // namespace
 
-closed_domains ClosedDomainsFromRows(
-    const closed_domains& before,
-    const std::vector<domain_status_row>& words,
-    bool whole,
-    closed_domains_version version) {
+closed_domains ClosedDomainsFromRows(const closed_domains& before,
+                                     const std::vector<domain_status_row>& rows,
+                                     bool complete,
+                                     closed_domains_version version) {
   closed_domains read{version,
-                      whole ? std::set<std::string>() : before.domains};
-  for (const domain_status_row& w : words) {
-    const bool was_closed = before.domains.count(w.domain) != 0;
-    if (w.status == domain_status::closed ||
-        (w.status == domain_status::unreadable && was_closed))
-      read.domains.insert(w.domain);
+                      complete ? std::set<std::string>() : before.domains};
+  for (const domain_status_row& row : rows) {
+    const bool was_closed = before.domains.count(row.domain) != 0;
+    if (row.status == domain_status::closed ||
+        (row.status == domain_status::unreadable && was_closed))
+      read.domains.insert(row.domain);
     else
-      read.domains.erase(w.domain);
+      read.domains.erase(row.domain);
   }
   return read;
 }
@@ -48,12 +47,12 @@
 }
 
 bool UpdateClosedDomainsFromPeer(closed_domains_state& s,
-                                 const closed_domains& told) {
-  if (told.version <= s.known.version)
+                                 const closed_domains& received) {
+  if (received.version <= s.known.version)
     return false;
   const bool outdated =
-      told.version <= s.read.version && told.domains != s.read.domains;
-  return Adopt(s, outdated ? s.read : told);
+      received.version <= s.read.version && received.domains != s.read.domains;
+  return Adopt(s, outdated ? s.read : received);
 }
 
 bool IsClosed(const closed_domains_state& s, const std::string& domain) {
--- a/src/core/leased_admission.cc
+++ b/src/core/leased_admission.cc
@@ -135,24 +135,24 @@
   const bool refuses_late = RefusesLate(s, rate);
   double ahead = 0;
   size_t bytes_ahead = 0;
-  std::vector<leased_seq> hopeless;
+  std::vector<leased_seq> refused;
   for (leased_seq seq : order) {
     const leased_job& job = s.jobs.at(seq);
-    const micros for_room{rate > 0 ? static_cast<int64_t>(ahead / rate)
-                                   : int64_t{0}};
+    const micros until_capacity{rate > 0 ? static_cast<int64_t>(ahead / rate)
+                                         : int64_t{0}};
     const micros starts =
-        now + std::max(for_room, TimeOnLink(s.link, bytes_ahead));
+        now + std::max(until_capacity, TimeOnLink(s.link, bytes_ahead));
     const bool useless = starts + job.expected > job.useless_after;
     const bool late = starts + DurationWithMargin(s, job) > job.late_after;
     if (MayRefuse(job) && (useless || (late && refuses_late))) {
-      hopeless.push_back(seq);
+      refused.push_back(seq);
       continue;
     }
     ahead += static_cast<double>(WaitingCpu(job)) *
              static_cast<double>(job.expected.value);
     bytes_ahead += job.payload.size() + kPayloadCopyBytes;
   }
-  return hopeless;
+  return refused;
 }
 
 }  // namespace cassiaferry
--- a/src/core/leased_choice.cc
+++ b/src/core/leased_choice.cc
@@ -53,7 +53,7 @@
   constexpr double kFailingWeight = 4;
   constexpr double kPartWeight = 1;
   constexpr double kAgeWeight = 1;
-  constexpr micros kOldWord = Millis(130);  // about one heartbeat interval
+  constexpr micros kStaleReportAge = Millis(130);  // about one heartbeat
   constexpr double kFarWeight = 1;
   const resources left = AvailableResources(w) - wanted.need;
   const double used =
@@ -64,13 +64,13 @@
       1 - static_cast<double>(TasksThatFit(w, wanted)) / wanted.tasks;
   const double age =
       std::min(1.0, static_cast<double>((now - w.report_received_at).value) /
-                        kOldWord.value);
-  const double sick =
+                        kStaleReportAge.value);
+  const double health_cost =
       std::clamp(slowness, 0.0, 4.0) + w.failure_share * kFailingWeight;
   // A recovery shows only if the worker gets a run.
   const bool probe_due =
       w.probe_pause.value != 0 && w.open_runs.empty() && now >= w.probe_after;
-  return used + (probe_due ? 0 : age * kAgeWeight + sick) +
+  return used + (probe_due ? 0 : age * kAgeWeight + health_cost) +
          missing * kPartWeight + (is_far ? kFarWeight : 0);
 }
 
--- a/src/core/leased_jobs.cc
+++ b/src/core/leased_jobs.cc
@@ -385,7 +385,7 @@
   leased_job job = BuildJob(l, now, event, *queue);
   if (RefusesNewWork(s, job)) {
     RefuseTicket(s, event.ticket, job.id,
-                 {verdict::not_run, reason::queue_full, "this entry acts late",
+                 {verdict::not_run, reason::queue_full, "this entry is late",
                   RetryAfterMs(s)},
                  LatenessText(l.late));
     return;
@@ -518,9 +518,9 @@
                           worker_id id,
                           const run_end& end) {
   if (end.number != 0)
-    return ", told by its sidecar";
+    return ", reported by its sidecar";
   const leased_worker& w = s.leased.workers[id.value];
-  return ", its sidecar is silent, last word_ms " +
+  return ", its sidecar is silent, last report_ms " +
          std::to_string(ToMillis(now - w.report_received_at));
 }
 
@@ -564,7 +564,7 @@
   s.actions.push_back(
       leased_decision{"starts refused", jobs,
                       "runs " + std::to_string(refused) + ", worker " +
-                          s.workers[id.value].name + ", free cpu there " +
+                          s.workers[id.value].name + ", its free cpu " +
                           std::to_string(w.free.cpu)});
 }
 
--- a/src/core/leased_placing.cc
+++ b/src/core/leased_placing.cc
@@ -72,10 +72,11 @@
 // Compresses the payload once, for all workers that get a copy. Payloads of
 // durable jobs stay as they are, because their rows are stored as text.
 void CompressPayload(const leased_state& l, leased_job& job) {
-  constexpr size_t kLeastPacked = 200;  // bytes; compressing less gains nothing
+  constexpr size_t kMinCompressedBytes =
+      200;  // bytes; compressing less gains nothing
   const bool stored = job.durable.stage != durable_stage::none;
   if (job.payload_compressed || stored || !CompressesPayloads(l.link) ||
-      job.payload.size() < kLeastPacked)
+      job.payload.size() < kMinCompressedBytes)
     return;
   job.payload = Compress(job.payload);
   job.payload_compressed = true;
@@ -102,11 +103,11 @@
 void LogPlaced(entry_state& s,
                const leased_job& job,
                const std::vector<uint32_t>& placed) {
-  constexpr size_t kMostNamed = 16;
+  constexpr size_t kMaxNamed = 16;
   if (placed.empty())
     return;
   std::string text = "runs " + std::to_string(placed.size()) + ":";
-  for (size_t i = 0; i < std::min(kMostNamed, placed.size()); ++i)
+  for (size_t i = 0; i < std::min(kMaxNamed, placed.size()); ++i)
     text += PlacedText(s, job.tasks[placed[i]]);
   LogJob(s, "runs placed", job, std::move(text));
 }
@@ -151,14 +152,14 @@
 // jobs takes 0.1 ms, a tenth of an entry's processor at a thousand ticks a
 // second.
 bool NoWorkerHasCapacity(const entry_state& s) {
-  int64_t most = 0;
+  int64_t max_free = 0;
   for (const leased_worker& w : s.leased.workers) {
     if (w.takes_work)
-      most = std::max(most, AvailableResources(w).cpu);
+      max_free = std::max(max_free, AvailableResources(w).cpu);
   }
   return std::all_of(
       s.leased.waiting.begin(), s.leased.waiting.end(),
-      [&](leased_seq seq) { return s.leased.jobs.at(seq).min_cpu > most; });
+      [&](leased_seq seq) { return s.leased.jobs.at(seq).min_cpu > max_free; });
 }
 
 }  // namespace
@@ -169,14 +170,14 @@
   if (s.leased.waiting.empty() || NoWorkerHasCapacity(s))
     return;
   MeasureUsualPace(s.leased);
-  int without_room = 0;
+  int jobs_without_capacity = 0;
   for (leased_seq seq : ServeOrder(s.leased, now)) {
     if (!MaySendPayload(s.leased.link))
       return;
     leased_job& job = s.leased.jobs[seq];
     if (!MayStart(s, now, job))
       continue;
-    if (!PlaceJob(s, now, job) && ++without_room > kLookAhead)
+    if (!PlaceJob(s, now, job) && ++jobs_without_capacity > kLookAhead)
       return;
   }
 }
--- a/src/core/leased_tick.cc
+++ b/src/core/leased_tick.cc
@@ -51,11 +51,11 @@
 // `drain_ms`: time until the work waiting here is done.
 int64_t RetryAfterMs(entry_state& s, double drain_ms) {
   // Sooner, the same burst is still going on.
-  constexpr double kLeastMs = 300;
-  constexpr double kMostMs = 10'000;  // callers give up if told to wait longer
+  constexpr double kMinMs = 300;
+  constexpr double kMaxMs = 10'000;  // callers give up if told to wait longer
   const double spread =
       std::uniform_real_distribution<double>(1, 1.5)(s.random);
-  return static_cast<int64_t>(std::clamp(drain_ms, kLeastMs, kMostMs) * spread);
+  return static_cast<int64_t>(std::clamp(drain_ms, kMinMs, kMaxMs) * spread);
 }
 
 }  // namespace
@@ -80,9 +80,9 @@
 }
 
 std::string LatenessText(const lateness& l) {
-  return "acts late by ms " +
+  return "entry late by ms " +
          std::to_string(static_cast<int64_t>(l.mean_us / 1000)) +
-         ", longest wait in this process ms " +
+         ", longest event wait ms " +
          std::to_string(ToMillis(l.last_loop_wait));
 }
 
@@ -98,23 +98,26 @@
 };
 
 free_resources_summary SummarizeFreeResources(const entry_state& s) {
-  free_resources_summary seen;
+  free_resources_summary free_resources;
   for (const leased_worker& w : s.leased.workers) {
     if (!w.takes_work)
       continue;
-    seen.max_free_cpu = std::max(seen.max_free_cpu, AvailableResources(w).cpu);
-    seen.usable_workers += w.avoid_until <= s.leased.last_tick ? 1 : 0;
+    free_resources.max_free_cpu =
+        std::max(free_resources.max_free_cpu, AvailableResources(w).cpu);
+    free_resources.usable_workers +=
+        w.avoid_until <= s.leased.last_tick ? 1 : 0;
   }
-  return seen;
+  return free_resources;
 }
 
 std::string FreeResourcesText(const entry_state& s,
-                              const free_resources_summary& seen,
+                              const free_resources_summary& free_resources,
                               const leased_job& job) {
   return "waiting " + std::to_string(s.leased.waiting.size()) +
-         ", least cpu needed " + std::to_string(job.min_cpu) +
-         ", most free on a worker " + std::to_string(seen.max_free_cpu) +
-         ", workers not avoided " + std::to_string(seen.usable_workers) + ", " +
+         ", min cpu needed " + std::to_string(job.min_cpu) +
+         ", max free cpu on a worker " +
+         std::to_string(free_resources.max_free_cpu) + ", usable workers " +
+         std::to_string(free_resources.usable_workers) + ", " +
          LatenessText(s.leased.late);
 }
 
@@ -129,22 +132,23 @@
   if (!s.closed_domains.known.domains.empty())
     RefuseJobsInClosedDomains(s, now);
   const std::vector<leased_seq> order = ServeOrder(s.leased, now);
-  const bool settled =
+  const bool capacity_stable =
       now - s.leased.capacity_grown_at > kGrowthStabilisationDelay;
   // With an unknown rate, only jobs that no capacity could save are refused.
   const int64_t free =
-      settled ? FreeCpu(s) - CpuInUseInClosedDomains(s) : kUnknownRate;
-  const std::vector<leased_seq> hopeless =
+      capacity_stable ? FreeCpu(s) - CpuInUseInClosedDomains(s) : kUnknownRate;
+  const std::vector<leased_seq> unservable =
       UnservableJobs(s.leased, order, free, now);
-  if (hopeless.empty())
+  if (unservable.empty())
     return;
-  const free_resources_summary seen = SummarizeFreeResources(s);
+  const free_resources_summary free_resources = SummarizeFreeResources(s);
   const double drain_ms = DrainMs(s.leased, FreeCpu(s));
-  for (leased_seq seq : hopeless) {
+  for (leased_seq seq : unservable) {
     leased_job& job = s.leased.jobs[seq];
     Conclude(s, now, job, leased_outcome::refused,
              {verdict::not_run, reason::deadline_unreachable,
-              "no room in time, " + FreeResourcesText(s, seen, job),
+              "not enough capacity in time, " +
+                  FreeResourcesText(s, free_resources, job),
               RetryAfterMs(s, drain_ms)});
   }
 }
@@ -171,12 +175,12 @@
 // and later from all others if that has not helped.
 void RequestCapacityReports(entry_state& s, micros now) {
   // A third of the time that callers of short tasks allow.
-  constexpr micros kAskAllAfter = Millis(20);
+  constexpr micros kRequestFromAllAfter = Millis(20);
   leased_state& l = s.leased;
   int64_t wanted = 0;
   for (leased_seq seq : l.waiting) {
-    const int64_t least = l.jobs.at(seq).min_cpu;
-    wanted = wanted == 0 ? least : std::min(wanted, least);
+    const int64_t min_cpu = l.jobs.at(seq).min_cpu;
+    wanted = wanted == 0 ? min_cpu : std::min(wanted, min_cpu);
   }
   const bool began = wanted > 0 && l.wanted_cpu == 0;
   if (began)
@@ -186,16 +190,16 @@
   l.wanted_cpu = wanted;
   if (wanted == 0 || l.requested_from_all)
     return;
-  const bool all = now - l.wanted_since > kAskAllAfter;
+  const bool all = now - l.wanted_since > kRequestFromAllAfter;
   if (!began && !all)
     return;
   l.requested_from_all = all;
   for (uint32_t i = 0; i < l.workers.size(); ++i) {
     const leased_worker& w = l.workers[i];
-    const bool asks =
+    const bool request =
         all ? !w.wanted_cpu_sent : w.follows || !w.open_runs.empty();
     worker_row& row = s.workers[i];
-    row.must_send = row.must_send || (asks && row.state == worker_link::up);
+    row.must_send = row.must_send || (request && row.state == worker_link::up);
   }
 }
 
@@ -220,11 +224,11 @@
 
 // Logs when the link's bound appears, disappears or changes by half or more.
 void LogLinkRate(entry_state& s) {
-  constexpr double kTellsAt = 1.5;
+  constexpr double kLogFactor = 1.5;
   const double rate = s.leased.link.rate;
-  const double told = s.leased.logged_link_rate;
-  const bool same_kind = (rate > 0) == (told > 0);
-  if (same_kind && rate <= kTellsAt * told && told <= kTellsAt * rate)
+  const double logged = s.leased.logged_link_rate;
+  const bool same_kind = (rate > 0) == (logged > 0);
+  if (same_kind && rate <= kLogFactor * logged && logged <= kLogFactor * rate)
     return;
   s.leased.logged_link_rate = rate;
   s.actions.push_back(leased_decision{
@@ -238,7 +242,7 @@
   if (!changed)
     return;
   s.actions.push_back(
-      leased_decision{*changed ? "acts late" : "acts in time again", "",
+      leased_decision{*changed ? "entry late" : "entry in time again", "",
                       LatenessText(s.leased.late) + ", jobs open " +
                           std::to_string(s.leased.jobs.size())});
 }
--- a/src/core/leased_workers.cc
+++ b/src/core/leased_workers.cc
@@ -181,14 +181,14 @@
 // report, so they are ended then.
 void EndOrphanedRuns(entry_state& s, micros now, worker_id id) {
   leased_worker& w = s.leased.workers[id.value];
-  std::vector<run_ref> over;
+  std::vector<run_ref> expired;
   std::erase_if(w.orphaned, [&](const auto& batch) {
     if (batch.first > now)
       return false;
-    over.insert(over.end(), batch.second.begin(), batch.second.end());
+    expired.insert(expired.end(), batch.second.begin(), batch.second.end());
     return true;
   });
-  for (const run_ref& ref : over)
+  for (const run_ref& ref : expired)
     HandleRunEnd(s, now, id, {0, ref, run_end_kind::lost, 0});
 }
 
@@ -237,7 +237,7 @@
 
 void StartLeaseStream(entry_state& s,
                       worker_id id,
-                      bool same_life,
+                      bool same_incarnation,
                       entry_frame& frame) {
   leased_worker& w = WorkerOf(s, id);
   w.starts_sent = 0;
@@ -245,7 +245,7 @@
   w.in_flight_resources = {};
   w.frames = {};
   w.takes_work = false;
-  if (!same_life) {
+  if (!same_incarnation) {
     OrphanRuns(s, w);
     w.acked_end = 0;
     w.unsaved_ends.clear();
@@ -307,11 +307,11 @@
 namespace {
 
 bool AnotherWorkerHasCapacity(const entry_state& s,
-                              worker_id not_this,
+                              worker_id excluded,
                               const leased_job& job,
                               const leased_step& step) {
   for (uint32_t i = 0; i < s.leased.workers.size(); ++i) {
-    if (worker_id{i} != not_this && MayPlaceOn(s, worker_id{i}, job, step))
+    if (worker_id{i} != excluded && MayPlaceOn(s, worker_id{i}, job, step))
       return true;
   }
   return false;
@@ -401,13 +401,13 @@
 // difference of clock rates. This renews the owner lease as of now, so the run
 // also counts as over later (RunsOverAt).
 int64_t EchoFor(leased_worker& w, micros now, micros heartbeat, bool starts) {
-  constexpr double kLeastClockRate = 0.98;
+  constexpr double kMinClockRate = 0.98;
   const micros age = now - w.report_received_at;
   if (!starts || age <= heartbeat)
     return w.report_stamp;
   w.owner_lease_renewed_at = now;
   return w.report_stamp +
-         static_cast<int64_t>(static_cast<double>(age.value) * kLeastClockRate);
+         static_cast<int64_t>(static_cast<double>(age.value) * kMinClockRate);
 }
 
 }  // namespace
--- a/tests/closed_domains_unit_test.cc
+++ b/tests/closed_domains_unit_test.cc
@@ -116,9 +116,9 @@
 
   // The end of the job's run as reported to the owner; stopped: none yet.
   run_end_kind EndOf(const std::string& job) {
-    for (const reported_end& told : k.owners[kOwner].ends) {
-      if (told.end.ref == Ref(job))
-        return told.end.kind;
+    for (const reported_end& reported : k.owners[kOwner].ends) {
+      if (reported.end.ref == Ref(job))
+        return reported.end.kind;
     }
     return run_end_kind::stopped;
   }
@@ -170,12 +170,12 @@
   HandleLeaseManagerEvent(k, now, over);
   TickLeaseManager(k, now);
   REQUIRE(k.worker.session.id == "other");
-  poll_answered look;
-  look.number = k.open_poll;
-  look.session = {"other"};
-  look.answer = worker_answer::ok;
-  look.clock_ms = 1;
-  HandleLeaseManagerEvent(k, now, look);
+  poll_answered poll;
+  poll.number = k.open_poll;
+  poll.session = {"other"};
+  poll.answer = worker_answer::ok;
+  poll.clock_ms = 1;
+  HandleLeaseManagerEvent(k, now, poll);
   TickLeaseManager(k, now);
   Order("new", 1000, 100);
   CHECK(StartsCalled() == 0);
--- a/tests/idle_pairs_unit_test.cc
+++ b/tests/idle_pairs_unit_test.cc
@@ -78,12 +78,12 @@
   }
 
   void Answer() {
-    poll_answered look;
-    look.number = k.open_poll;
-    look.session = {"life"};
-    look.answer = worker_answer::ok;
-    look.clock_ms = ToMillis(now);
-    HandleLeaseManagerEvent(k, now, look);
+    poll_answered poll;
+    poll.number = k.open_poll;
+    poll.session = {"life"};
+    poll.answer = worker_answer::ok;
+    poll.clock_ms = ToMillis(now);
+    HandleLeaseManagerEvent(k, now, poll);
     TickLeaseManager(k, now);
   }
 
@@ -100,7 +100,7 @@
   }
 
   // Sends a pending report. Returns whether there was one.
-  bool TakeDue() {
+  bool SendPendingReport() {
     if (!k.owners[kOwner].report_pending)
       return false;
     ReportFor(k, now, kOwner);
@@ -138,23 +138,23 @@
   for (uint32_t i = 0; i < 3; ++i)
     HandleLeaseManagerEvent(
         k, now, run_start_answered{Start(i).ref, {"life"}, worker_answer::ok});
-  TakeDue();
+  SendPendingReport();
   int reports = 0;
   for (uint32_t i = 0; i < 3; ++i) {
     now = now + Millis(10);
-    poll_answered look;
-    look.number = k.open_poll;
-    look.session = {"life"};
-    look.answer = worker_answer::ok;
-    look.clock_ms = ToMillis(now);
+    poll_answered poll;
+    poll.number = k.open_poll;
+    poll.session = {"life"};
+    poll.answer = worker_answer::ok;
+    poll.clock_ms = ToMillis(now);
     for (uint32_t left = i + 1; left < 3; ++left)
-      look.running.push_back({Start(left).ref, 50});
-    look.ended.push_back({i + 1, Start(i).ref, run_end_kind::done});
-    HandleLeaseManagerEvent(k, now, look);
-    const size_t told = k.owners[kOwner].ends_reported;
+      poll.running.push_back({Start(left).ref, 50});
+    poll.ended.push_back({i + 1, Start(i).ref, run_end_kind::done});
+    HandleLeaseManagerEvent(k, now, poll);
+    const size_t reported = k.owners[kOwner].ends_reported;
     reports += k.owners[kOwner].report_pending ? 1 : 0;
-    if (TakeDue())
-      CHECK(k.owners[kOwner].ends_reported == told + 3);
+    if (SendPendingReport())
+      CHECK(k.owners[kOwner].ends_reported == reported + 3);
   }
   CHECK(reports == 1);
 }
@@ -180,9 +180,9 @@
 // under its lease. If the entry counted the run as over by the last report
 // alone, it would start the task elsewhere too early.
 TEST_CASE("pair_idle_then_cut_off_run_counts_as_over_by_its_start") {
-  for (int64_t quiet_ms = 500; quiet_ms < 1500; quiet_ms += 50) {
+  for (int64_t idle_ms = 500; idle_ms < 1500; idle_ms += 50) {
     idle_system q(1, 2);
-    q.w.Pass(Millis(quiet_ms));
+    q.w.Pass(Millis(idle_ms));
     q.w.Cut(0, 0, Millis(4000), cut_ways::to_entry);
     q.w.Cut(0, 1, Millis(4000), cut_ways::to_entry);
     q.Submit("job", 3000);
@@ -191,7 +191,7 @@
     if (worker >= 0)
       q.w.FreezeSidecar(worker, Millis(3000));
     q.w.Pass(Millis(9000));
-    INFO("quiet for ms " << quiet_ms);
+    INFO("quiet for ms " << idle_ms);
     for (const violation& v : q.w.violations)
       UNSCOPED_INFO("at " << ToMillis(v.at) << " ms: " << v.what);
     REQUIRE(q.w.violations.empty());
@@ -237,7 +237,7 @@
       // The free resources differ each time: the same are not offered twice.
       k.used.memory_mb = i % 2;
       Answer();
-      offers += TakeDue() ? 1 : 0;
+      offers += SendPendingReport() ? 1 : 0;
     }
     return offers;
   };
@@ -246,7 +246,7 @@
   k.owners[kOwner].next_offer_at = now;
   k.used.memory_mb = 5;
   Answer();
-  REQUIRE(TakeDue());
+  REQUIRE(SendPendingReport());
   Order({Start(0)});
   HandleLeaseManagerEvent(
       k, now, run_start_answered{Start(0).ref, {"life"}, worker_answer::ok});
--- a/tests/leased_unit_test.cc
+++ b/tests/leased_unit_test.cc
@@ -388,9 +388,9 @@
     for (const std::string& job : jobs)
       e.running.push_back(
           {Ref(job, 1), static_cast<uint32_t>(ToMillis(now - began) / 140)});
-    lease_orders vouch;
-    vouch.echo = now.value;
-    HandleLeaseOrders(k, now, kOwner, vouch);
+    lease_orders renewal;
+    renewal.echo = now.value;
+    HandleLeaseOrders(k, now, kOwner, renewal);
     HandleLeaseManagerEvent(k, now, e);
     TickLeaseManager(k, now);
     least = std::min(least, k.pace);
@@ -582,8 +582,8 @@
     AnswerPoll({});
     now = now + Millis(20);
     TickLeaseManager(k, now);
-    const std::vector<call_poll> looks = Calls<call_poll>();
-    return looks.empty() ? uint64_t{0} : looks.back().acked_through;
+    const std::vector<call_poll> polls = Calls<call_poll>();
+    return polls.empty() ? uint64_t{0} : polls.back().acked_through;
   };
   poll_answered found;
   found.number = k.open_poll;
@@ -598,7 +598,7 @@
   orders.resolved_ends.push_back(
       {Ref("job", 1), end_disposition::expire_lease});
   HandleLeaseOrders(k, now, kOwner, orders);
-  const micros lapsed =
+  const micros lease_expires_at =
       k.session_since + ElapsedByAnyClock(k.options.bounds.max_lease);
   const auto seen_at = [&](micros time) {
     now = time;
@@ -606,8 +606,8 @@
     return seen_in_next_look();
   };
   REQUIRE(seen_at(k.session_since + Millis(100)) == 0);
-  REQUIRE(seen_at(lapsed - Millis(20)) == 0);
-  REQUIRE(seen_at(lapsed + k.options.bounds.margin) == 1);
+  REQUIRE(seen_at(lease_expires_at - Millis(20)) == 0);
+  REQUIRE(seen_at(lease_expires_at + k.options.bounds.margin) == 1);
 }
 
 // An announcement of the worker's previous session is delayed by a cut and
@@ -622,10 +622,10 @@
   HandleLeaseManagerEvent(k, now, over);
   REQUIRE(k.worker.session.id == "second");
   TickLeaseManager(k, now);
-  const size_t looks = Calls<call_poll>().size();
+  const size_t polls = Calls<call_poll>().size();
   HandleLeaseManagerEvent(k, now, Announcement("life"));
   REQUIRE(k.worker.session.id == "second");
-  REQUIRE(Calls<call_poll>().size() == looks);  // nor is the old session polled
+  REQUIRE(Calls<call_poll>().size() == polls);  // nor is the old session polled
 }
 
 // Guards against jobs that never end although their tasks do. The sidecar
@@ -753,7 +753,7 @@
 
 // Three entries on links of 2 Mbit/s. Each gets 34 jobs a second of 3.6 tasks,
 // with payloads of 1 to 2.4 kB.
-struct thin_links {
+struct slow_links {
   static world_options Options(uint64_t seed) {
     world_options options;
     options.seed = seed;
@@ -762,7 +762,7 @@
     options.entry_link_bytes_per_s = 250'000;
     return options;
   }
-  explicit thin_links(uint64_t seed) : w(Options(seed)) {
+  explicit slow_links(uint64_t seed) : w(Options(seed)) {
     w.Pass(Millis(1500));
   }
 
@@ -786,17 +786,17 @@
 
   // Share of the jobs sent from `from` to `to` that were answered in time.
   double InTime(micros from, micros to) const {
-    int asked = 0;
+    int sent = 0;
     int in_time = 0;
     for (const auto& [id, job] : w.jobs) {
       if (job.first_sent < from || job.first_sent >= to)
         continue;
-      ++asked;
+      ++sent;
       const micros objective{job.run_ms[0] * 1600 + 60'000};
       in_time += job.fate == job_fate::completed &&
                  job.answered - job.first_sent <= objective;
     }
-    return static_cast<double>(in_time) / std::max(1, asked);
+    return static_cast<double>(in_time) / std::max(1, sent);
   }
 
   uint64_t Stopped() const {
@@ -811,7 +811,7 @@
   int next = 0;
 };
 
-constexpr uint64_t kThinSeeds = 8;
+constexpr uint64_t kSlowLinkSeeds = 8;
 
 // Guards against one job in fifty answered at a normal load, with idle workers.
 // Entries with 2 Mbit/s get bursts of 1.3 times their load. If each task takes
@@ -820,15 +820,15 @@
 // again.
 TEST_CASE("link_slow_normal_load_served_in_time") {
   double in_time = 0;
-  for (uint64_t seed = 1; seed <= kThinSeeds; ++seed) {
-    thin_links t(seed);
+  for (uint64_t seed = 1; seed <= kSlowLinkSeeds; ++seed) {
+    slow_links t(seed);
     const micros from = t.w.now;
     t.Load(1.0, Millis(4000));
     t.Load(1.3, Millis(2000));
     t.Load(1.0, Millis(4000));
     const micros to = t.w.now;
     t.w.Pass(Millis(4000));
-    in_time += t.InTime(from, to) / kThinSeeds;
+    in_time += t.InTime(from, to) / kSlowLinkSeeds;
     CHECK(t.Stopped() == 0);
     REQUIRE(t.w.violations.empty());
   }
@@ -840,7 +840,7 @@
 // It happened with these seeds.
 TEST_CASE("link_slow_starts_wait_no_run_is_stopped") {
   for (uint64_t seed : {4, 14}) {
-    thin_links t(seed);
+    slow_links t(seed);
     t.Load(1.0, Millis(4000));
     t.Load(1.3, Millis(2000));
     t.Load(1.0, Millis(4000));
@@ -859,8 +859,8 @@
 TEST_CASE("link_overloaded_for_seconds_serves_again_after") {
   double in_time = 0;
   double mean_wait_ms = 0;
-  for (uint64_t seed = 1; seed <= kThinSeeds; ++seed) {
-    thin_links t(seed);
+  for (uint64_t seed = 1; seed <= kSlowLinkSeeds; ++seed) {
+    slow_links t(seed);
     t.Load(1.0, Millis(3000));
     t.Load(3.0, Millis(5000));
     t.Load(1.0, Millis(3000));
@@ -868,11 +868,11 @@
     t.Load(1.0, Millis(4000));
     const micros to = t.w.now;
     t.w.Pass(Millis(4000));
-    in_time += t.InTime(from, to) / kThinSeeds;
+    in_time += t.InTime(from, to) / kSlowLinkSeeds;
     for (const emulated_entry& entry : t.w.entries) {
       CHECK(ToMillis(entry.out.longest_wait) < 350);
       mean_wait_ms += static_cast<double>(ToMillis(entry.out.longest_wait)) /
-                      static_cast<double>(kThinSeeds * t.w.entries.size());
+                      static_cast<double>(kSlowLinkSeeds * t.w.entries.size());
     }
     REQUIRE(t.w.violations.empty());
   }
@@ -958,10 +958,10 @@
 // worker of six stall, and the others are full, so waiting tasks go there again
 // and again. After a run had to be moved off it, the next one is delayed.
 TEST_CASE("overload_worker_hangs_gets_few_runs") {
-  const auto sick = PlayOverloads(1.2, leased_admission::in_time, true);
-  INFO("runs on it: " << sick.on_first << ", in time: " << sick.in_time);
-  CHECK(sick.on_first < 400);
-  CHECK(sick.violations == 0);
+  const auto result = PlayOverloads(1.2, leased_admission::in_time, true);
+  INFO("runs on it: " << result.on_first << ", in time: " << result.in_time);
+  CHECK(result.on_first < 400);
+  CHECK(result.violations == 0);
 }
 
 // Guards against callers that are refused in a burst, return all at once and
