--- a/include/cassiaferry/closed_domains.h
+++ b/include/cassiaferry/closed_domains.h
@@ -73,7 +73,7 @@
 // Failure guarded against: a domain is closed and reopened while this process
 // can't read the store, so its next read equals what it knew before. A process
 // that missed the reopening then sends the closed state. Its version is lower
-// than that of the read, so it is ignored.
+// than that of the read, so the state read here applies instead.
 bool UpdateClosedDomainsFromPeer(closed_domains_state& s,
                                  const closed_domains& received);
 
@@ -82,7 +82,7 @@
 // ---- [4] Text output --------------------------------------------------------
 
 // For logs: "a b", or "none".
-std::string ToText(const closed_domains& closings);
+std::string ToText(const closed_domains& closed);
 std::string ClosedDomainsPrometheusText(const closed_domains_state& s);
 
 }  // namespace cassiaferry
--- a/include/cassiaferry/lateness.h
+++ b/include/cassiaferry/lateness.h
@@ -36,7 +36,7 @@
 
 // Records a difference and returns by how much it exceeds the smallest recent
 // one.
-int64_t DelayAboveMin(clock_offset& gap, micros now, int64_t difference);
+int64_t DelayAboveMin(clock_offset& offset, micros now, int64_t difference);
 
 // ---- [2] Lateness -----------------------------------------------------------
 
--- a/include/cassiaferry/leased_jobs.h
+++ b/include/cassiaferry/leased_jobs.h
@@ -44,9 +44,8 @@
   std::vector<uint32_t> after;  // earlier steps that must be done first
   // Label that the worker must have; empty: any worker.
   std::string label;
-  std::string
-      // Workers with this label are near its data, and used first.
-      preferred_label;
+  // Workers with this label are near its data, and used first.
+  std::string preferred_label;
   uint32_t max_per_worker = 0;  // tasks of the step on one worker; 0: no limit
 };
 
@@ -157,9 +156,8 @@
   // Time of the newest report on the sidecar's clock.
   int64_t report_stamp = 0;
   micros report_received_at{0};  // when that report was received
-  micros owner_lease_renewed_at{
-      // Last renewal of the owner lease, if later than that report.
-      0};
+  // Last renewal of the owner lease, if later than that report.
+  micros owner_lease_renewed_at{0};
   clock_offset offset;       // between the sidecar's clock and this one
   uint64_t starts_sent = 0;  // on this stream
   std::deque<unconfirmed_start> in_flight;  // not confirmed yet
@@ -171,14 +169,13 @@
   bool wanted_cpu_sent = false;
   bool follows = false;       // this entry wants reports of each change
   bool follows_sent = false;  // `follows` as last sent to the sidecar
-  std::set<uint64_t>
-      // Ends handled but not stored yet: neither they nor later ones are
-      // acknowledged.
-      unsaved_ends;
+  // Ends handled but not stored yet: neither they nor later ones are
+  // acknowledged.
+  std::set<uint64_t> unsaved_ends;
   std::deque<open_resolution> open_resolutions;
   uint64_t resolutions_sent = 0;  // on this stream
-  uint64_t sidecar_incarnation =
-      0;  // grows with each new sidecar process of this name
+  // Grows with each new sidecar process of this name.
+  uint64_t sidecar_incarnation = 0;
   std::map<run_ref, leased_seq> open_runs;  // ordered, no end received
   // Runs ordered from an earlier sidecar incarnation or one that is out of
   // reach; they are over at the given time.
@@ -221,11 +218,10 @@
   leased_admission admission = leased_admission::in_time;
   leased_order order = leased_order::fair_share;
   bool enabled = false;
-  micros pause_threshold =
-      // A longer gap between ticks means that this process was frozen.
-      Millis(350);
-  micros recovery_delay =
-      Millis(60);  // after a pause nothing is started for this long
+  // A longer gap between ticks means that this process was frozen.
+  micros pause_threshold = Millis(350);
+  // After a pause nothing is started for this long.
+  micros recovery_delay = Millis(60);
   // A stopping entry accepts jobs for this long, because callers stay on their
   // open connections.
   micros drain_accept{0};
--- a/src/core/closed_domains.cc
+++ b/src/core/closed_domains.cc
@@ -59,9 +59,9 @@
   return s.known.domains.count(domain) != 0;
 }
 
-std::string ToText(const closed_domains& closings) {
+std::string ToText(const closed_domains& closed) {
   std::string text;
-  for (const std::string& domain : closings.domains)
+  for (const std::string& domain : closed.domains)
     text += (text.empty() ? "" : " ") + domain;
   return text.empty() ? "none" : text;
 }
--- a/src/core/frame_bytes.cc
+++ b/src/core/frame_bytes.cc
@@ -21,8 +21,8 @@
   return document ? document->json.size() / kPackedTimes + kRecordBytes : 0;
 }
 
-size_t Bytes(const std::optional<closed_domains>& closings) {
-  return closings ? kRecordBytes * (1 + closings->domains.size()) : 0;
+size_t Bytes(const std::optional<closed_domains>& closed) {
+  return closed ? kRecordBytes * (1 + closed->domains.size()) : 0;
 }
 
 // Consecutive tasks of one job share a single copy of its payload.
--- a/src/core/lateness.cc
+++ b/src/core/lateness.cc
@@ -13,16 +13,17 @@
 
 // ---- [1] Clock offset -------------------------------------------------------
 
-int64_t DelayAboveMin(clock_offset& gap, micros now, int64_t difference) {
+int64_t DelayAboveMin(clock_offset& offset, micros now, int64_t difference) {
   // Clocks whose rates differ by one percent drift 50 ms apart in this time.
   constexpr micros kSpan = Millis(5000);
-  if (now - gap.window_start >= kSpan) {
-    gap.window_start = now;
-    gap.previous_min_difference = gap.min_difference;
-    gap.min_difference = INT64_MAX;
+  if (now - offset.window_start >= kSpan) {
+    offset.window_start = now;
+    offset.previous_min_difference = offset.min_difference;
+    offset.min_difference = INT64_MAX;
   }
-  gap.min_difference = std::min(gap.min_difference, difference);
-  return difference - std::min(gap.min_difference, gap.previous_min_difference);
+  offset.min_difference = std::min(offset.min_difference, difference);
+  return difference -
+         std::min(offset.min_difference, offset.previous_min_difference);
 }
 
 // ---- [2] Lateness -----------------------------------------------------------
--- a/src/core/leased_placing.cc
+++ b/src/core/leased_placing.cc
@@ -72,8 +72,8 @@
 // Compresses the payload once, for all workers that get a copy. Payloads of
 // durable jobs stay as they are, because their rows are stored as text.
 void CompressPayload(const leased_state& l, leased_job& job) {
-  constexpr size_t kMinCompressedBytes =
-      200;  // bytes; compressing less gains nothing
+  // Compressing less gains nothing.
+  constexpr size_t kMinCompressedBytes = 200;
   const bool stored = job.durable.stage != durable_stage::none;
   if (job.payload_compressed || stored || !CompressesPayloads(l.link) ||
       job.payload.size() < kMinCompressedBytes)
--- a/src/core/leased_tick.cc
+++ b/src/core/leased_tick.cc
@@ -93,8 +93,8 @@
 // entry with a tenth of a core 40 ms for 25 jobs.
 struct free_resources_summary {
   int64_t max_free_cpu = 0;  // on a single worker, thousandths of a core
-  uint32_t usable_workers =
-      0;  // workers that take work and are not avoided now
+  // Workers that take work and are not avoided now.
+  uint32_t usable_workers = 0;
 };
 
 free_resources_summary SummarizeFreeResources(const entry_state& s) {
