--- a/src/core/leased_choice.cc
+++ b/src/core/leased_choice.cc
@@ -38,9 +38,9 @@
 // Cost of placing tasks on a worker; lower is better.
 // - Free resources: preferring them spreads the load.
 // - Capacity for all of a step's tasks: fewer copies of the payload are sent.
-// - Health: a slow or failing worker is used only when others are full.
+// - Health: a slow or failing worker is used when others are full.
 // - Distance: traffic between failure domains is expensive and slower, so a
-//   worker in another domain is used only when near ones are full.
+//   worker in another domain is used when near ones are full.
 // - Age of the report: workers that this entry uses report each end, others
 //   only with their heartbeats, and by then another entry may have taken the
 //   free resources. With twelve entries at 0.8 of the load, the age term lowers
--- a/src/core/leased_systems.h
+++ b/src/core/leased_systems.h
@@ -43,8 +43,9 @@
                  const leased_task_row& row,
                  int sign);
 // Sends stops for the job's placed runs and removes these from the workers'
-// tables. If a stop is lost with its stream, the run is missing from the list
-// of known runs that this entry sends when the next stream begins.
+// tables. A stop may be lost with its stream: the run is then missing from the
+// list of known runs that this entry sends when the next stream begins, so it
+// is stopped all the same.
 void StopRuns(entry_state& s, leased_job& job);
 void EraseLeasedJob(entry_state& s, leased_job& job);
 
--- a/tests/closed_domains_unit_test.cc
+++ b/tests/closed_domains_unit_test.cc
@@ -91,11 +91,11 @@
 // Guards against an unreadable row that closes a domain, or opens one.
 TEST_CASE("closed_domains_unreadable_row_changes_nothing") {
   const closed_domains before = MakeClosedDomains(1, {"a"});
-  for (bool whole : {false, true}) {
+  for (bool complete : {false, true}) {
     const closed_domains read = ClosedDomainsFromRows(
         before,
         {{"a", domain_status::unreadable}, {"b", domain_status::unreadable}},
-        whole, {9});
+        complete, {9});
     CHECK(read.domains == before.domains);
   }
 }
