--- a/src/core/closed_domains.cc
+++ b/src/core/closed_domains.cc
@@ -1,4 +1,4 @@
-// Failure domains that are closed for new work.
+// Failure domains that are closed to new work.
 
 #include "cassiaferry/closed_domains.h"
 
@@ -18,26 +18,25 @@
 
 }  // namespace
 
-closed_domains ClosedDomainsFromRows(
-    const closed_domains& before,
-    const std::vector<domain_status_row>& words,
-    bool whole,
-    closed_domains_version version) {
+closed_domains ClosedDomainsFromRows(const closed_domains& before,
+                                     const std::vector<domain_status_row>& rows,
+                                     bool complete,
+                                     closed_domains_version version) {
   closed_domains read{version,
-                      whole ? std::set<std::string>() : before.domains};
-  for (const domain_status_row& w : words) {
-    const bool was_closed = before.domains.count(w.domain) != 0;
-    if (w.status == domain_status::closed ||
-        (w.status == domain_status::unreadable && was_closed))
-      read.domains.insert(w.domain);
+                      complete ? std::set<std::string>() : before.domains};
+  for (const domain_status_row& row : rows) {
+    const bool was_closed = before.domains.count(row.domain) != 0;
+    if (row.status == domain_status::closed ||
+        (row.status == domain_status::unreadable && was_closed))
+      read.domains.insert(row.domain);
     else
-      read.domains.erase(w.domain);
+      read.domains.erase(row.domain);
   }
   return read;
 }
 
-// A state that is what was known already keeps its number: told anew by each
-// process that starts, it would travel to all others for nothing.
+// A read that equals the known set doesn't raise the known version. Otherwise
+// each process that starts would send the unchanged set to all others.
 bool UpdateClosedDomainsFromStore(closed_domains_state& s,
                                   closed_domains read) {
   if (read.version < s.read.version)
@@ -48,21 +47,21 @@
 }
 
 bool UpdateClosedDomainsFromPeer(closed_domains_state& s,
-                                 const closed_domains& told) {
-  if (told.version <= s.known.version)
+                                 const closed_domains& received) {
+  if (received.version <= s.known.version)
     return false;
   const bool outdated =
-      told.version <= s.read.version && told.domains != s.read.domains;
-  return Adopt(s, outdated ? s.read : told);
+      received.version <= s.read.version && received.domains != s.read.domains;
+  return Adopt(s, outdated ? s.read : received);
 }
 
 bool IsClosed(const closed_domains_state& s, const std::string& domain) {
   return s.known.domains.count(domain) != 0;
 }
 
-std::string ToText(const closed_domains& closings) {
+std::string ToText(const closed_domains& closed) {
   std::string text;
-  for (const std::string& domain : closings.domains)
+  for (const std::string& domain : closed.domains)
     text += (text.empty() ? "" : " ") + domain;
   return text.empty() ? "none" : text;
 }
