--- a/include/cassiaferry/leases.h
+++ b/include/cassiaferry/leases.h
@@ -1,18 +1,18 @@
-// Records of leased runs, as an entry and a sidecar exchange them.
+// Records about leased runs that entries and sidecars exchange.
 //
-// A leased task runs on a worker only while its owner vouches for it: the
-// sidecar keeps a short lease on the worker, and stops what an owner has not
-// vouched for in time. So a run that nobody answers for ends by itself within a
-// known bound, after which its task may start elsewhere (docs/DESIGN.md works
-// the bound out).
+// A leased task runs on a worker only while its owner, an entry, keeps renewing
+// its owner lease at the sidecar. The sidecar holds a short lease on the worker
+// and stops every run whose owner lease has expired. A run whose owner or
+// sidecar has failed therefore ends by itself within a known bound, after which
+// its task may start elsewhere (docs/DESIGN.md derives the bound).
 //
 // Contents
-//   [1] Room
+//   [1] Resources
 //   [2] Tasks and runs
 //   [3] Entry to sidecar
 //   [4] Sidecar to entry
 //   [5] Bounds
-//   [6] Frames without news
+//   [6] Heartbeats
 
 #ifndef CASSIAFERRY_LEASES_H_
 #define CASSIAFERRY_LEASES_H_
@@ -27,9 +27,9 @@
 
 namespace cassiaferry {
 
-// ---- [1] Room ---------------------------------------------------------------
+// ---- [1] Resources ----------------------------------------------------------
 
-// What a task needs, or a worker has.
+// Resources that a task needs or a worker has.
 struct resources {
   int64_t cpu = 0;        // thousandths of a core
   int64_t memory_mb = 0;  // MiB
@@ -54,35 +54,36 @@
 
 // ---- [2] Tasks and runs -----------------------------------------------------
 
-// Names a leased task, the same at every entry.
+// Identifies a leased task, identically at every entry.
 struct leased_task {
-  std::string job;          // the caller's id of the job
-  uint32_t occurrence = 0;  // of a repeated job
+  std::string job;          // the id that the caller gave the job
+  uint32_t occurrence = 0;  // number, for a repeated job
   uint32_t step = 0;
   uint32_t index = 0;
   auto operator<=>(const leased_task&) const = default;
 };
 
-// "JOB.OCCURRENCE.STEP.INDEX", as in logs.
+// "JOB.OCCURRENCE.STEP.INDEX", the form used in logs.
 std::string ToText(const leased_task& task);
 
-// One start of a task. Runs of a task are numbered upwards: a worker refuses a
-// run that is not above every run it has stopped or ended.
+// One run of a task. The runs of a task have increasing numbers: a worker
+// refuses a run whose number is not above that of every run of the task that
+// it has stopped or ended.
 struct run_ref {
   leased_task task;
   uint32_t run = 0;
   auto operator<=>(const run_ref&) const = default;
 };
 
-std::string ToText(const run_ref& ref);  // the task, ", run " and its number
+std::string ToText(const run_ref& ref);  // "TASK, run NUMBER"
 
 enum class run_end_kind : uint8_t {
   done,
-  failed,         // the task or its worker's fault
-  stopped,        // ordered, or nobody vouched for it
-  lost,           // the worker or its lease is gone with it
-  never_started,  // refused, and will never start
-  superseded,     // refused: its number is not above an earlier run's there
+  failed,         // by a fault of the task or its worker
+  stopped,        // on an order, or its owner lease expired
+  lost,           // with its worker or the worker's lease
+  never_started,  // the start was refused and will not be carried out
+  superseded,  // refused: its number is not above that of an earlier run there
 };
 
 constexpr size_t kRunEndKinds = 6;
@@ -94,20 +95,20 @@
 struct run_start {
   run_ref ref;
   resources need;
-  uint32_t expected_ms = 0;  // by the entry's estimate
+  uint32_t expected_ms = 0;  // estimated by the entry
   std::string payload;
-  bool durable =
-      false;  // the worker keeps its end until the owner has stored it
-  bool compressed = false;  // the payload (compression.h)
+  // The worker lists its end until the owner has stored it.
+  bool durable = false;
+  bool compressed = false;  // the payload is compressed (compression.h)
 };
 
-// What becomes of an end that a sidecar holds.
+// What a sidecar does with an end that it holds.
 enum class end_disposition : uint8_t {
-  forget,           // it is stored, or of no job that lives: acknowledge it
+  forget,  // it is stored, or its job is over: acknowledge it to the worker
   expire_lease,     // its task has started again since: the worker's lease must
-                    // lapse before the end may be acknowledged
-  offer_to_others,  // this entry is not its job's owner any more: offer it to
-                    // others
+                    // expire before the end is acknowledged
+  offer_to_others,  // this entry doesn't own its job any more: report it to all
+                    // entries
 };
 
 struct resolved_end {
@@ -116,58 +117,61 @@
 };
 
 struct lease_orders {
-  int64_t echo = 0;  // newest stamp seen of the sidecar; vouches until then
-                     // plus the vouch bound, on the sidecar's clock
+  int64_t echo = 0;  // newest stamp received from the sidecar; renews the owner
+                     // lease from then on, on the sidecar's clock
   int64_t sent = 0;  // the entry's clock, microseconds
   std::vector<run_start> starts;
   std::vector<run_ref> stops;
-  uint64_t acked_end = 0;  // ends up to this number may be forgotten
-  uint64_t last_received_end =
-      0;  // first of a stream: the newest end ever heard
-  std::vector<resolved_end> resolved_ends;  // taken before `acked_end`
-  // Tasks wait for room: tell at once when so much is free, thousandths of a
-  // core, the least that one of them needs; 0: none wait.
+  uint64_t acked_end = 0;  // acknowledges ends up to this number
+  // First of a stream: the newest end ever received.
+  uint64_t last_received_end = 0;
+  std::vector<resolved_end> resolved_ends;  // handled before `acked_end`
+  // The smallest cpu need of the entry's waiting tasks, thousandths of a core;
+  // 0: none wait. The sidecar reports at once when so much is free.
   int64_t wanted_cpu = 0;
-  bool follows_resources = false;  // wants to hear of changes of the room there
-  bool is_first = false;           // of a stream: `known` is complete
-  std::vector<run_ref> known;  // runs ordered of this sidecar life, not ended
+  // The entry wants reports of changed free resources.
+  bool follows_resources = false;
+  bool is_first = false;       // first of a stream: `known` is complete
+  std::vector<run_ref> known;  // runs ordered from this sidecar process whose
+                               // end is not received yet
 };
 
 // ---- [4] Sidecar to entry ---------------------------------------------------
 
 struct run_end {
-  uint64_t number = 0;  // grows per entry; acknowledged cumulatively
+  uint64_t number = 0;  // increasing per entry; acknowledged cumulatively
   run_ref ref;
   run_end_kind kind = run_end_kind::done;
   uint32_t run_ms = 0;  // from the order to the end
 };
 
-// A run that takes much longer than expected, and how far it has come.
+// A run that takes much longer than expected, and its progress.
 struct straggler {
   run_ref ref;
   uint32_t run_ms = 0;
   uint32_t percent = 0;
 };
 
-// The newest frame that the sidecar has had of an entry: tells the entry how
-// long its link takes. Microseconds.
+// The newest frame that the sidecar has received from an entry. The entry
+// derives the delay of its link from it. Times are in microseconds.
 struct received_frame {
-  int64_t sent = 0;     // its stamp; 0: none yet
-  int64_t transit = 0;  // the sidecar's clock when it came, less that
-  int64_t held = 0;     // from then until now
+  int64_t sent = 0;     // the frame's stamp; 0: none received yet
+  int64_t transit = 0;  // the sidecar's clock on arrival, less `sent`
+  int64_t held = 0;     // time from its arrival to this report
 };
 
-// One start of a worker. It may start again under the id that it had, and then
-// knows nothing of before; what it numbers, its clock among them, starts anew.
+// One session of a worker, from its start to its end. A worker may start again
+// under the same id. It then has no state from before: its numbering starts
+// again, and its clock may have changed.
 struct worker_session {
   std::string id;
-  int64_t started_ms = 0;  // Unix time, by its own clock; 0: it didn't tell
+  int64_t started_ms = 0;  // Unix time, by its own clock; 0: unknown
   auto operator<=>(const worker_session&) const = default;
 };
 
-std::string ToText(const worker_session& life);
+std::string ToText(const worker_session& session);
 
-// The worker beside the sidecar, as it announced itself.
+// The worker that the sidecar serves, as the worker announced itself.
 struct leased_worker_info {
   worker_session session;
   std::string upstream;
@@ -178,60 +182,67 @@
 
 struct lease_reports {
   int64_t stamp = 0;           // the sidecar's clock, microseconds
-  uint64_t starts_seen = 0;    // of this stream
-  uint64_t resolved_seen = 0;  // of this stream
+  uint64_t starts_seen = 0;    // starts received on this stream
+  uint64_t resolved_seen = 0;  // resolved ends received on this stream
   bool accepts_work = false;
   resources free;
-  std::optional<leased_worker_info> worker;  // on change, and first of a stream
+  // If it changed, and first of a stream.
+  std::optional<leased_worker_info> worker;
   std::vector<run_end> ends;
-  uint32_t pace = 1000;  // work done against expected, thousandths: a slow
-                         // worker has less, one that stands still 0
+  uint32_t pace = 1000;  // work done relative to expected work, thousandths;
+                         // below 1000 on a slow worker, 0 on a stalled one
   std::vector<straggler> stragglers;
-  std::vector<run_end> unclaimed;  // held for owners that are silent or unknown
+  std::vector<run_end> unclaimed;  // held ends whose owner is silent or unknown
   received_frame last_received;
 };
 
 // ---- [5] Bounds -------------------------------------------------------------
 
-// How long each party believes another. One set for all processes of a system.
+// Timeouts after which one party takes another for failed. All processes of a
+// system use the same values.
 struct lease_bounds {
-  micros lease = Millis(700);        // of a worker, from each extension
-  micros max_lease = Millis(1000);   // a worker cuts longer ones down to this
-  micros owner_lease = Millis(400);  // of an owner, from the stamp it echoes
-  micros margin = Millis(50);  // timers fire late, and a stop takes this long
+  micros lease = Millis(700);  // of a worker, from each extension on
+  // Longest lease; a worker shortens longer ones to this.
+  micros max_lease = Millis(1000);
+  // Of an owner, from the stamp that it echoes on.
+  micros owner_lease = Millis(400);
+  micros margin = Millis(50);  // for late timers and the time that a stop takes
 };
 
-// Clocks of workers may run slow by 2%, as the platform states.
+// The platform guarantees that clocks of workers run slow by at most 2%.
 constexpr int64_t kClockDriftPercent = 2;
 
-// This time of a worker's clock has passed by any clock after this.
+// The time after which `time` has passed on a worker's clock too, even if that
+// clock runs slow.
 constexpr micros ElapsedByAnyClock(micros time) {
   return micros{time.value * 100 / (100 - kClockDriftPercent)};
 }
 
-// A lease granted now has lapsed by any clock after this.
+// The time after which a lease granted now has expired by any clock.
 constexpr micros LeaseExpiredAfter(const lease_bounds& bounds) {
   return ElapsedByAnyClock(bounds.lease);
 }
 
-// After the last word from a sidecar, its runs of this entry are over: the
-// entry's vouch has run out, and then, should the sidecar be frozen, the lease.
+// The time after the last message from a sidecar at which all runs of this
+// entry there are over: first the owner lease has expired and then, in case the
+// sidecar is frozen, the lease on the worker.
 constexpr micros RunsOverAfter(const lease_bounds& bounds) {
   return bounds.owner_lease + LeaseExpiredAfter(bounds) + bounds.margin;
 }
 
-// Bounds that fit what the platform allows. `lease_max`: the longest lease a
-// worker accepts. `resend_after`: a caller that got no answer sends again, to
-// any entry, after this: by then whatever the first entry ran must be over.
+// Bounds that fit the platform's limits. `lease_max`: the longest lease that a
+// worker accepts. `resend_after`: the time after which a caller without an
+// answer sends its job again, to any entry; by then all runs that the first
+// entry started must be over.
 lease_bounds BoundsFor(micros lease_max, micros resend_after);
 
-// ---- [6] Frames without news ------------------------------------------------
+// ---- [6] Heartbeats ---------------------------------------------------------
 
-// How often a stream carries a frame, and how long one without a frame is
-// believed in. A pair of entry and sidecar is idle while no run of the entry is
-// there: nothing is vouched for then, and nothing is lost with the pair but
-// news of the worker's room. With 61 sidecars an entry that serves nobody takes
-// and sends 120 frames a second instead of 910.
+// How often a stream carries at least one frame, and how long a stream without
+// a frame counts as alive. A pair of entry and sidecar is idle while no run of
+// the entry is at the sidecar: no owner lease is needed then, and if the stream
+// breaks only updates of the worker's free resources are lost. With 61 sidecars
+// an entry without jobs receives and sends 120 frames a second instead of 910.
 struct link_timing {
   micros heartbeat = Millis(500);
   micros silence_timeout = Millis(2000);
@@ -239,7 +250,7 @@
   micros idle_silence_timeout = Millis(2000);
 };
 
-// Owners are vouched for by frames: several fit into the bound.
+// Frames renew owner leases, so several of them fit into an owner lease.
 link_timing TimingFor(const lease_bounds& bounds);
 
 }  // namespace cassiaferry
