--- a/include/cassiaferry/sidecar.h
+++ b/include/cassiaferry/sidecar.h
@@ -1,7 +1,7 @@
-// Decisions of a sidecar: the only one that starts tasks on its upstream.
+// Decisions of a sidecar, the only process that starts tasks on its upstream.
 //
-// Pure: no thread, clock or socket. Feed events to `Tick`, carry out the
-// actions that it returns.
+// Pure: no thread, clock or socket. The caller passes events to `Tick` and
+// carries out the actions that it returns.
 //
 // Contents
 //   [1] Options
@@ -33,23 +33,29 @@
 // ---- [1] Options ------------------------------------------------------------
 
 struct sidecar_options {
-  std::string name;                          // unique among sidecars
-  std::string failure_domain;                // where this worker stands
-  incarnation self;                          // random, new with each process
-  uint64_t seed = 1;                         // of random numbers in decisions
-  std::vector<std::string> seeds;            // entry addresses from the start
-  link_timing timing;                        // of streams to entries
-  micros redial = Millis(200);               // wait after a failed dial
-  micros announce_timeout = Millis(3000);    // then the upstream is leaving
-  micros offer_timeout = Millis(100);        // an unanswered offer is void
-  micros entry_retention = Millis(600'000);  // an unheard entry is forgotten
-  micros orphan_timeout = Millis(30'000);    // its running tasks are stopped
-  micros drain_grace = Millis(10'000);       // a stop waits so long for it
-  micros keep_slot_margin = Millis(2000);    // another entry's job must be so
-                                             // much earlier to get a freed slot
-  size_t max_results_bytes = 32 << 20;       // unacknowledged, for one entry
-  size_t max_queued = 20'000;                // tasks and probes queued here
-  bool manages_leases = false;  // its worker runs tasks under leases
+  std::string name;                // unique among sidecars
+  std::string failure_domain;      // of this worker
+  incarnation self;                // random, new for each process
+  uint64_t seed = 1;               // of the random numbers in decisions
+  std::vector<std::string> seeds;  // entry addresses known at the start
+  link_timing timing;              // of streams to entries
+  micros redial = Millis(200);     // delay after a failed dial
+  // Without an announcement for this long the upstream counts as leaving.
+  micros announce_timeout = Millis(3000);
+  // Time after which an unanswered offer expires.
+  micros offer_timeout = Millis(100);
+  // Time after which the state of a silent entry is dropped.
+  micros entry_retention = Millis(600'000);
+  // Time after which the tasks of a silent entry are stopped.
+  micros orphan_timeout = Millis(30'000);
+  micros drain_grace = Millis(10'000);  // how long a planned stop waits for
+                                        // leased runs and for acknowledgements
+  // A freed slot goes to another entry only if its job is earlier by more than
+  // this.
+  micros keep_slot_margin = Millis(2000);
+  size_t max_results_bytes = 32 << 20;  // unacknowledged results of one entry
+  size_t max_queued = 20'000;           // number of queued tasks and probes
+  bool manages_leases = false;          // the worker runs leased tasks
   lease_manager_options lease_manager;
 };
 
@@ -75,7 +81,7 @@
   std::string output;
 };
 struct drain_requested {};
-struct entries_found {  // addresses of entries, from the platform
+struct entries_found {  // entry addresses read from the platform
   std::vector<std::string> addresses;
 };
 
@@ -113,7 +119,7 @@
   incarnation entry;
   task_ref task;
 };
-struct drained {};  // nothing is left: the process may exit
+struct drained {};  // no work is left: the process may exit
 
 using sidecar_action = std::variant<dial_entry,
                                     hang_up,
@@ -127,37 +133,37 @@
 
 enum class link_state : uint8_t { idle, dialing, up };
 
-// One address that this sidecar keeps a stream to.
+// One entry address that this sidecar keeps a stream to.
 struct entry_link {
   std::string address;
   link_state state = link_state::idle;
   link_epoch epoch;                     // of the newest stream dialled
-  incarnation entry;                    // known once up
-  config_version version;               // that the entry told last
-  closed_domains_version closed_as_of;  // ... too
-  micros relay_at{0};  // when it gets what is newer here; 0: it is not behind
+  incarnation entry;                    // known once the link is up
+  config_version version;               // last reported by the entry
+  closed_domains_version closed_as_of;  // last reported by the entry
+  micros relay_at{0};  // when newer state is sent to it; 0: it is not behind
   micros last_received_at{0};
   micros last_sent{0};
   micros next_dial{0};
-  micros first_failed{0};  // 0: the last dial went well
-  bool is_seed = false;    // seeds are never forgotten
+  micros first_failed{0};  // 0: the last dial succeeded
+  bool is_seed = false;    // seeds are dialled for ever
   upstream_info reported_upstream;
   upstream_state reported_state = upstream_state::absent;
-  sidecar_frame outbox;  // filled during a tick, sent at its end
+  sidecar_frame outbox;  // filled during a tick and sent at its end
   bool must_send = false;
 };
 
-// What is remembered of one entry incarnation. Keeps the fence.
+// State kept for one entry incarnation, the fence among it.
 struct known_entry {
-  uint64_t token =
-      0;             // told to the entry; new whenever something was forgotten
+  // Reported to the entry; changes whenever results were dropped.
+  uint64_t token = 0;
   link_epoch fence;  // frames of any other epoch are dropped
   entry_id link;
   bool linked = false;
   micros last_received_at{0};
   order_key backlog = kNoBacklog;  // absolute, on this sidecar's clock
-  uint32_t backlog_tasks = 0;      // slots still wanted for it
-  std::deque<micros> offers;  // when each unanswered offer or grant was made
+  uint32_t backlog_tasks = 0;      // slots that it still wants
+  std::deque<micros> offers;       // times of unanswered offers and grants
   uint32_t starts_seen = 0;
   uint64_t next_result = 1;
   std::deque<result_record> results;  // unacknowledged, by number
@@ -177,18 +183,19 @@
 
 // A task or a probe waiting for a slot here.
 struct queued_item {
-  task_key key;  // of a probe: index 0
+  task_key key;  // of a probe: with index 0
   bool is_probe = false;
   std::string payload;
   micros enqueued{0};
   micros expires{0};
 };
 
-// A configuration that entries tell of, and that is not here yet.
+// The search for a configuration that entries have reported and that this
+// sidecar doesn't have yet.
 struct config_search {
-  config_version newest;         // that any entry told of ...
-  micros newest_received_at{0};  // ... and when
-  micros request_at{0};          // at the latest
+  config_version newest;         // newest version that any entry has reported
+  micros newest_received_at{0};  // when it was first reported
+  micros request_at{0};          // latest time of the request
   micros requested_at{0};
 };
 
@@ -201,11 +208,11 @@
   upstream_state state = upstream_state::absent;
   micros last_announced{0};
   uint64_t next_epoch = 1;
-  std::vector<entry_link> links;  // by entry_id
+  std::vector<entry_link> links;  // indexed by entry_id
   std::map<incarnation, known_entry> entries;
   std::map<task_key, running_task> running;
-  std::map<std::pair<order_key, uint64_t>, queued_item>
-      queue;  // by order, then arrival
+  // By order key, then arrival.
+  std::map<std::pair<order_key, uint64_t>, queued_item> queue;
   uint64_t next_queued = 0;
   config_document config;
   struct config_search config_search;
@@ -219,13 +226,13 @@
 
 sidecar_state MakeSidecar(sidecar_options options);
 
-// Takes all events that have queued up, decides, and returns what to do.
-// `now` never goes back. Call at least every 50 ms.
+// Handles all queued events and returns the resulting actions. `now` must not
+// go back. To be called at least every 50 ms.
 std::vector<sidecar_action> Tick(sidecar_state& s,
                                  micros now,
                                  std::vector<sidecar_event> events);
 
-// Slots neither running a task nor held by an unanswered offer.
+// Slots that neither run a task nor are reserved by an unanswered offer.
 uint32_t FreeSlots(const sidecar_state& s);
 
 }  // namespace cassiaferry
--- a/src/core/sidecar.cc
+++ b/src/core/sidecar.cc
@@ -1,4 +1,4 @@
-// The sidecar's systems, run in order by each tick.
+// The sidecar's event handlers and the steps of its tick.
 //
 // Contents
 //   [1] Slots
@@ -56,11 +56,11 @@
 
 // ---- [2] Results ------------------------------------------------------------
 
-// Outputs wait for an acknowledgement, but not without bound. Failure guarded
-// against: an entry that never acknowledges fills this process's memory. When
-// the bound is passed the oldest are dropped and the token changes, so that the
-// entry, should it come back asking, hears that something was forgotten and
-// says "may have run" instead of "not run".
+// Results are kept until they are acknowledged, up to a bound. Failure guarded
+// against: an entry that never acknowledges fills this process's memory. Beyond
+// the bound the oldest results are dropped and the token changes. An entry that
+// reconciles later sees from the new token that state was lost, and reports
+// "may have run" instead of "not run".
 void BoundResults(sidecar_state& s, known_entry& entry) {
   while (entry.results_bytes > s.options.max_results_bytes &&
          !entry.results.empty()) {
@@ -151,7 +151,8 @@
     s.metrics.CountRetry(retry_reason::duplicate_start);
     return;
   }
-  // A start answers the oldest offer, if there is one; its slot is then free.
+  // A start answers the oldest offer, if there is one, which releases the slot
+  // reserved for it.
   if (!entry.offers.empty())
     entry.offers.pop_front();
   if (AcceptsWork(s) && FreeSlots(s) > 0) {
@@ -211,8 +212,8 @@
   }
 }
 
-// Whatever this entry had here and no longer asks for is given up: its cancel
-// may have been lost with the older stream.
+// Stops the tasks of this entry that it doesn't list any more: their cancel may
+// have been lost with the older stream.
 void StopUnwanted(sidecar_state& s,
                   incarnation entry_name,
                   const std::set<task_ref>& wanted) {
@@ -225,9 +226,10 @@
   }
 }
 
-// Tells the fate of each task that the entry asks about. A task unknown here
-// was never started, and never will be: the fence is already up, so a start
-// still travelling on an older stream is dropped when it arrives.
+// Reports what became of each task that the entry lists as unresolved. A task
+// unknown here was never started and never will be: the fence is already
+// raised, so a start that is still in transit on an older stream is dropped
+// when it arrives.
 reconcile_reply Reconcile(sidecar_state& s,
                           incarnation entry_name,
                           known_entry& entry,
@@ -240,12 +242,12 @@
   reconcile_reply reply;
   reply.memory_token = entry.token;
   for (const task_ref& task : hello.unresolved) {
-    task_outcome fate = task_outcome::never_started;
+    task_outcome outcome = task_outcome::never_started;
     if (s.running.count({entry_name, task}) != 0)
-      fate = task_outcome::running;
+      outcome = task_outcome::running;
     else if (IsResult(entry, task))
-      fate = task_outcome::resolved;
-    reply.tasks.push_back({task, fate});
+      outcome = task_outcome::resolved;
+    reply.tasks.push_back({task, outcome});
   }
   return reply;
 }
@@ -264,9 +266,9 @@
   return entry_id{static_cast<uint32_t>(s.links.size() - 1)};
 }
 
-void CloseLink(sidecar_state& s, micros now, entry_id id, bool tell_net) {
+void CloseLink(sidecar_state& s, micros now, entry_id id, bool hangs_up) {
   entry_link& link = s.links[id.value];
-  if (tell_net)
+  if (hangs_up)
     s.actions.push_back(hang_up{id, link.epoch});
   const auto known = s.entries.find(link.entry);
   if (link.state == link_state::up && known != s.entries.end()) {
@@ -276,7 +278,7 @@
       entry.offers.clear();
       entry.backlog = kNoBacklog;
       // Queued tasks of a broken stream are not started: their entry may have
-      // given them up. It hears "never started" when it comes back.
+      // given them up. It receives "never started" when it reconnects.
       std::erase_if(s.queue, [&](const auto& row) {
         return row.second.key.entry == link.entry;
       });
@@ -295,8 +297,8 @@
                  entry_id id,
                  const entry_hello& hello) {
   if (hello.address != s.links[id.value].address) {
-    // Reached through a balancer: keep one stream per entry, to its own
-    // address.
+    // The address is that of a load balancer: keep one stream per entry, to its
+    // own address.
     AddEntryAddress(s, hello.address, false);
     CloseLink(s, now, id, true);
     s.links[id.value].next_dial = now + Millis(5000);
@@ -333,7 +335,7 @@
 
 void HandleBacklog(micros now, known_entry& entry, const entry_frame& frame) {
   entry.backlog = Absolute(now, *frame.backlog);
-  // What is offered already counts against what is wanted.
+  // Unanswered offers count towards the slots that the entry wants.
   const auto offered = static_cast<uint32_t>(entry.offers.size());
   entry.backlog_tasks =
       frame.backlog_tasks > offered ? frame.backlog_tasks - offered : 0;
@@ -374,8 +376,8 @@
     AddEntryAddress(s, address, false);
   if (frame.hello)
     HandleHello(s, now, event.link, *frame.hello);
-  entry_link& same_link =
-      s.links[event.link.value];  // learning may have moved the table
+  entry_link& same_link = s.links[event.link.value];  // adding addresses may
+                                                      // have moved the elements
   if (same_link.state != link_state::up)
     return;
   const incarnation entry_name = same_link.entry;
@@ -411,7 +413,7 @@
   RejectQueuedTasks(s);
 }
 
-// What waits for a slot in a closed domain is not started there any more.
+// Tasks that wait for a slot are not started once the domain is closed.
 void RejectQueuedIfClosed(sidecar_state& s) {
   if (!s.queue.empty() && IsClosed(s.closed_domains, s.options.failure_domain))
     RejectQueuedTasks(s);
@@ -425,8 +427,8 @@
   s.state = upstream_state::ready;
 }
 
-// Failure guarded against: an upstream that dies without a goodbye. It shows as
-// missing announcements; new work stops at the third.
+// Failure guarded against: an upstream crashes without leaving. Its
+// announcements then stop, and new work stops once the third is missing.
 void CheckUpstream(sidecar_state& s, micros now) {
   if (s.state == upstream_state::ready &&
       now - s.last_announced > s.options.announce_timeout)
@@ -467,15 +469,17 @@
   s.actions.push_back(send_to_entry{id, std::move(frame)});
 }
 
-// Addresses that lead nowhere for long are dropped from the dial list, except
-// seeds: an entry that was replaced never comes back under its old address, and
-// dialling it for ever would cost a connection attempt each.
+// Whether dials to this address have failed for so long that it is not dialled
+// any more; seeds always are. A replaced entry never returns to its old
+// address, and dialling it for ever would cost one connection attempt after
+// another.
 bool IsGone(const entry_link& link, micros now) {
   return !link.is_seed && link.first_failed.value != 0 &&
          now - link.first_failed > Millis(60'000);
 }
 
-// The entry has something here that it must keep alive.
+// Whether the entry has runs or results here, so that its stream needs the
+// short timeouts.
 bool IsActive(const sidecar_state& s, const entry_link& link) {
   const auto entry = s.entries.find(link.entry);
   const bool has_results =
@@ -484,9 +488,9 @@
          HasRuns(s.lease_manager, link.entry);
 }
 
-// Failure guarded against: an open connection that has gone silent for good
-// while new ones work. It shows as no frame, not even a heartbeat, for the
-// silence limit. The answer is a fresh connection with a higher epoch.
+// Failure guarded against: an open connection carries nothing any more while
+// new ones work. No frame, not even a heartbeat, arrives within the silence
+// timeout; then a new connection with a higher epoch replaces it.
 void CheckLinks(sidecar_state& s, micros now) {
   for (size_t i = 0; i < s.links.size(); ++i) {
     const entry_id id{static_cast<uint32_t>(i)};
@@ -495,8 +499,9 @@
     const bool idle = link.state == link_state::up && !IsActive(s, link);
     const micros silence =
         idle ? timing.idle_silence_timeout : timing.silence_timeout;
-    // Failure guarded against: an entry without runs here hears seldom of this
-    // worker, believes that it has room, and is refused; so changes are told.
+    // Failure guarded against: an entry without runs here receives few reports
+    // on this worker, takes it for free, and is refused. So larger changes are
+    // reported at the usual rate.
     const bool quiet =
         idle && !HasUnreportedChange(s.lease_manager, link.entry);
     const micros heartbeat = quiet ? timing.idle_heartbeat : timing.heartbeat;
@@ -513,9 +518,9 @@
   }
 }
 
-// Failure guarded against: an entry dies and a task of it hangs, so that its
-// slot is lost for good. It is stopped, and its result says that it may have
-// run, in case the entry was only paused and asks.
+// Failure guarded against: an entry crashes and one of its tasks hangs, so that
+// the slot is lost for good. The task is stopped, and its result says that it
+// may have run, in case the entry was only paused and reconciles.
 void StopOrphans(sidecar_state& s, micros now) {
   for (auto& [name, entry] : s.entries) {
     if (entry.linked || now - entry.last_received_at < s.options.orphan_timeout)
@@ -601,7 +606,8 @@
   }
 }
 
-// The entry whose first waiting job is first of all; null: none has a backlog.
+// The linked entry whose first waiting job is before those of all others; null
+// if none has a backlog.
 known_entry* FirstBacklog(sidecar_state& s) {
   known_entry* best = nullptr;
   for (auto& [name, entry] : s.entries) {
@@ -613,9 +619,9 @@
   return best;
 }
 
-// Keeps a slot for the entry, to be used by a start or given back. No more
-// slots are kept than it has tasks waiting: its answer carries the newest
-// count.
+// Reserves a slot for the entry until a start uses it or the entry declines it.
+// Not more slots are reserved than the entry has waiting tasks; its answer
+// carries the newest count.
 void ReserveSlot(known_entry& entry, micros now) {
   entry.offers.push_back(now);
   if (entry.backlog_tasks > 0 && --entry.backlog_tasks == 0)
@@ -630,9 +636,9 @@
   s.metrics.CountSent(record_kind::offer);
 }
 
-// A slot freed by a result goes back to the entry of that result without a
-// record of its own, if that entry has a backlog and no other has a job that is
-// before it by more than the margin.
+// A slot freed by a result is granted to the entry of that result without a
+// separate offer record, if that entry has a backlog and no other entry has a
+// job that is before it by more than the margin.
 void GrantWithResults(sidecar_state& s, micros now) {
   const known_entry* best = FirstBacklog(s);
   if (best == nullptr)
@@ -721,7 +727,7 @@
   }
 };
 
-// The keeper is part of this process, and its calls go out like others.
+// Runs the lease manager's part of the tick and takes over its actions.
 void RunLeaseManager(sidecar_state& s, micros now) {
   if (!s.options.manages_leases)
     return;
@@ -731,8 +737,8 @@
   s.lease_manager.actions.clear();
 }
 
-// An entry whose stream is broken just now gets some time to come back for its
-// results.
+// Whether all results are acknowledged. An entry whose stream is broken has the
+// drain grace to reconnect for its results.
 bool AllAcknowledged(const sidecar_state& s, micros now) {
   return std::all_of(s.entries.begin(), s.entries.end(), [&](const auto& row) {
     const known_entry& entry = row.second;
@@ -742,8 +748,8 @@
   });
 }
 
-// A planned stop waits for what runs under a lease, up to the grace: then the
-// next process beside this worker stops it.
+// A planned stop waits for leased runs to end, but not longer than the drain
+// grace: the next sidecar of this worker stops the remaining ones.
 bool LeasesDrained(const sidecar_state& s, micros now) {
   if (!s.options.manages_leases || now - s.drain_since > s.options.drain_grace)
     return true;
--- a/src/core/sidecar_config.cc
+++ b/src/core/sidecar_config.cc
@@ -1,12 +1,12 @@
-// What operators have written, at a sidecar: the configuration, asked for from
-// one entry, and the closed failure domains, which come unasked; kept, and
-// passed on to entries that lack them.
+// The operators' settings at a sidecar: the configuration, which it requests
+// from one entry, and the closed failure domains, which entries send by
+// themselves. The sidecar keeps both and relays them to entries that lack them.
 //
-// Entries tell the version that they know with every frame, and the document
-// only to those that ask. Failure guarded against: each entry sends each change
-// to each sidecar. On a link of 250 kB/s a change of 7 kB for 15 sidecars takes
-// all of it for 0.4 s, and on a choked one an entry learned of a change 6 s
-// late.
+// Entries report their version of the configuration with every frame, and send
+// the document only on request. Failure guarded against: each entry sends each
+// change to each sidecar. A change of 7 kB for 15 sidecars takes all of a link
+// of 250 kB/s for 0.4 s, and over an overloaded link an entry received a change
+// 6 s late.
 
 #include <algorithm>
 
@@ -16,16 +16,17 @@
 
 namespace {
 
-// An entry that is behind the others for this long has no other way to learn:
-// those that have one learn within some tens of milliseconds.
+// An entry that is behind the others for this long can't read the store:
+// entries that can are up to date within some tens of milliseconds.
 constexpr micros kBehindFor = Millis(200);
-// Nobody is behind: sidecars ask at moments spread over this, so that a small
-// link is not full of the answers. Until then, entries that all die at once
-// while the store is down take the version with them.
+// If no entry is behind, sidecars send their requests at random times within
+// this, so that the answers don't fill a small link. Until then the version is
+// lost if all entries crash at once while the store is down.
 constexpr micros kRequestWithin = Millis(500);
-constexpr micros kRequestAgain = Millis(500);  // the answer was lost
-// All sidecars see an entry that is behind. It tells them when the first has
-// sent it the document, and the others don't.
+constexpr micros kRequestAgain = Millis(500);  // if the answer was lost
+// All sidecars notice an entry that is behind. Each waits for a random time
+// within this: once the entry has received the document from the first, it
+// reports the new version, and the others don't send it.
 constexpr micros kRelayWithin = Millis(100);
 constexpr micros kRelayAgain = Millis(500);
 
@@ -40,7 +41,7 @@
       });
 }
 
-// One of the entries that have the newest version; null: none is linked.
+// A random entry that has the newest version; null if no linked entry has it.
 entry_link* PickConfigHolder(sidecar_state& s) {
   std::vector<entry_link*> holders;
   for (entry_link& link : s.links) {
@@ -55,8 +56,8 @@
          link.closed_as_of < s.closed_domains.known.version;
 }
 
-void HandleClosedDomains(sidecar_state& s, const closed_domains& told) {
-  if (!UpdateClosedDomainsFromPeer(s.closed_domains, told))
+void HandleClosedDomains(sidecar_state& s, const closed_domains& received) {
+  if (!UpdateClosedDomainsFromPeer(s.closed_domains, received))
     return;
   const bool closed = IsClosed(s.closed_domains, s.options.failure_domain);
   s.actions.emplace_back(lease_manager_action{lease_manager_log{
@@ -110,9 +111,9 @@
   holder->must_send = true;
 }
 
-// An entry that knows an older state than this sidecar gets it here. That is
-// how an entry started during a platform outage becomes ready, and learns which
-// domains are closed.
+// Sends newer state to entries that are behind this sidecar. An entry that was
+// started during a platform outage becomes ready this way and receives the
+// closed domains.
 void RelayOperatorState(sidecar_state& s, micros now) {
   for (entry_link& link : s.links) {
     if (!IsUp(link) || !IsBehind(s, link)) {
--- a/src/core/sidecar_systems.h
+++ b/src/core/sidecar_systems.h
@@ -1,4 +1,4 @@
-// What the files of the sidecar share. Private to src/core.
+// Functions shared by the source files of the sidecar. Private to src/core.
 
 #ifndef CASSIAFERRY_SRC_CORE_SIDECAR_SYSTEMS_H_
 #define CASSIAFERRY_SRC_CORE_SIDECAR_SYSTEMS_H_
@@ -7,16 +7,18 @@
 
 namespace cassiaferry {
 
-// ---- The operators' word (sidecar_config.cc) --------------------------------
+// ---- Configuration and closed domains (sidecar_config.cc) -------------------
 
-// A frame of the entry on this link came, with the versions that it knows.
+// Records the versions that a frame from the entry on this link reports, and
+// takes over newer state that the frame holds.
 void RecordOperatorState(sidecar_state& s,
                          micros now,
                          entry_id id,
                          const entry_frame& frame);
-// Asks one entry for a configuration that is newer than the one here.
+// Requests a configuration that is newer than the one here, from one entry.
 void RequestConfig(sidecar_state& s, micros now);
-// Sends the configuration and the closings to entries that have older ones.
+// Sends the configuration and the closed domains to entries that have older
+// versions.
 void RelayOperatorState(sidecar_state& s, micros now);
 
 }  // namespace cassiaferry
