--- a/include/cassiaferry/uplink.h
+++ b/include/cassiaferry/uplink.h
@@ -1,11 +1,12 @@
-// What an entry's own link can carry: stated in settings, or learnt from how
-// long frames take.
+// Rate control for payloads on an entry's own link. The capacity of the link is
+// configured, or estimated from the delay of frames.
 //
 // The link of a machine is shared by its streams, its callers and its store
 // calls. When more is sent than it carries, frames queue up in it. Failure
-// guarded against: what keeps runs alive then stands behind payloads, runs
-// lapse, their tasks are sent again, and the link never gets free. So payloads
-// are sent only as fast as the link carries them; everything else goes at once.
+// guarded against: frames that renew owner leases wait behind payloads, runs
+// are stopped as their leases expire, their tasks are sent again, and the link
+// stays overloaded. So payloads are sent only as fast as the link carries them;
+// everything else is sent at once.
 //
 // Pure: no thread, clock or socket.
 //
@@ -30,91 +31,98 @@
 
 struct uplink_options {
   bool enabled = true;
-  double configured_rate = 0;  // bytes a second by settings; 0: not stated
-  double usable_share = 0.8;   // of that, for frames: answers to callers and
-                               // calls to the store are not counted here
-  // Frames that all wait longer than this over an interval stand in a queue
-  // that doesn't drain. A seventh of the time for which a silent entry is
-  // vouched for, and above what a busy peer adds.
+  double configured_rate = 0;  // bytes a second, from the settings; 0: not set
+  // Share of the configured rate for frames: answers to callers and calls to
+  // the store are not counted here.
+  double usable_share = 0.8;
+  // If all frames of an interval are delayed by more than this, there is a
+  // standing queue in the link. A seventh of an owner lease, and more than the
+  // delay that a busy peer adds.
   micros max_delay = Millis(60);
-  micros interval = Millis(50);  // at least, between two decisions on the rate
-  int min_samples = 2;           // ... and so many frames must have arrived
-  double backoff_factor = 0.85;  // of what was carried, while a queue stands
-  double growth_factor =
-      1.06;  // a decision, while payloads wait and no queue stands
-  double min_rate = 8000;     // bytes a second that are always tried
-  micros burst = Millis(40);  // of the rate may go at once
-  micros bound_retention =
-      Millis(20'000);  // no queue for so long: the bound goes
-  // Bytes a second. Below this a kilobyte, packed to half, is sooner there:
-  // packing takes 0.03 ms of a core, of which a small machine has a tenth.
-  double pack_below = 4e6;
+  // Minimum time between two adjustments of the rate.
+  micros interval = Millis(50);
+  int min_samples = 2;  // frames that must have arrived before an adjustment
+  double backoff_factor = 0.85;  // the rate is set to this share of the
+                                 // delivered one while there is a queue
+  // Of the rate, per adjustment, while payloads wait and there is no queue.
+  double growth_factor = 1.06;
+  double min_rate = 8000;     // bytes a second, the lowest rate
+  micros burst = Millis(40);  // how much of the rate may be sent at once
+  // Time without a queue after which the bound is lifted.
+  micros bound_retention = Millis(20'000);
+  // Bytes a second. Below this rate a kilobyte that is compressed to half its
+  // size arrives earlier: compressing it takes 0.03 ms of a core, and a small
+  // machine has a tenth of a core.
+  double compress_below = 4e6;
 };
 
 // ---- [2] State --------------------------------------------------------------
 
-// A frame that is not known to have arrived.
+// A frame that was sent and is not known to have arrived.
 struct uplink_mark {
   micros sent{0};
   size_t bytes = 0;
 };
 
-// Frames of one stream.
+// Frames in flight on one stream.
 struct uplink_stream {
   std::deque<uplink_mark> marks;
   clock_offset
-      gap;  // of arrivals on the peer's clock and sendings on this one's
+      gap;  // between arrival on the peer's clock and sending on this one
 };
 
 struct uplink {
   uplink_options options;
   double rate = 0;             // bytes a second; 0: no bound is known
   double tokens = 0;           // bytes that may be sent now
-  size_t planned = 0;          // bytes of payloads that this tick will send
-  bool payload_waits = false;  // one was held back since the last decision
+  size_t planned = 0;          // bytes of payloads to be sent in this tick
+  bool payload_waits = false;  // one was held back since the last adjustment
   micros refilled_at{0};
   micros adjusted_at{0};
-  micros queue_seen_at{0};        // by the newest decision that found one
-  int64_t min_rtt = INT64_MAX;    // microseconds, of any frame so far
-  int64_t min_delay = INT64_MAX;  // of the frames since the last decision
-  int samples = 0;                // so many
-  uint64_t delivered_bytes = 0;   // bytes that arrived since then
-  micros delay{0};                // found by the newest decision
+  micros queue_seen_at{0};        // newest adjustment that found a queue
+  int64_t min_rtt = INT64_MAX;    // microseconds, over all frames so far
+  int64_t min_delay = INT64_MAX;  // over the frames since the last adjustment
+  int samples = 0;                // number of these frames
+  uint64_t delivered_bytes = 0;   // since the last adjustment
+  micros delay{0};  // queueing delay found by the newest adjustment
 };
 
 // ---- [3] Calls --------------------------------------------------------------
 
 uplink MakeUplink(uplink_options options);
 
-// A frame goes out.
+// Records that a frame is sent.
 void RecordSent(uplink& u, uplink_stream& stream, micros now, size_t bytes);
 
-// What a peer says of the newest frame that it has had on a stream.
+// A peer's report on the newest frame that it has received on a stream.
 struct frame_arrival {
-  micros sent{0};       // stamp of the frame, this process's clock
+  micros sent{0};       // stamp of the frame, on this process's clock
   int64_t transit = 0;  // the peer's clock at its arrival, less `sent`, in us
-  int64_t held = 0;     // from then until the peer said so, in us
+  int64_t held = 0;     // from its arrival until the peer's report, in us
 };
 void RecordArrived(uplink& u,
                    uplink_stream& stream,
                    micros now,
                    const frame_arrival& arrival);
 
-// Call each tick, before payloads are placed. `own_wait`: for so long things
-// wait in this process; frames are late by that on both ways, link or not.
+// To be called each tick, before payloads are placed. `own_wait`: how long
+// events wait in this process. It delays frames in both directions whatever the
+// link does.
 void TickUplink(uplink& u, micros now, micros own_wait = micros{0});
-// This process was paused: what was measured meanwhile tells nothing.
+// Discards the measurements of the current interval, as they are invalid after
+// a pause of this process.
 void ForgetInterval(uplink& u, micros now);
 
-// A payload may be sent now. False: it is remembered that one waits.
+// Whether a payload may be sent now. If not, records that one waits.
 bool MaySendPayload(uplink& u);
-// It will be, this tick.
+// Records that a payload will be sent in this tick.
 void PlanPayload(uplink& u, size_t bytes);
 
-// Payloads are better packed before they are sent.
+// Whether payloads should be compressed before they are sent.
 bool CompressesPayloads(const uplink& u);
 
-// How long the link takes for so many bytes; 0 while no bound is known.
+// The time that the link takes for `bytes`; 0 while no bound of the rate is
+// known.
 micros TimeOnLink(const uplink& u, size_t bytes);
 
 }  // namespace cassiaferry
--- a/src/core/uplink.cc
+++ b/src/core/uplink.cc
@@ -1,4 +1,4 @@
-// Pacing of payloads by what the link carries.
+// Rate control of payloads by the capacity of the link.
 //
 // Contents
 //   [1] Frames
@@ -43,10 +43,10 @@
 
 namespace {
 
-// Time that the frame stood in queues on its way there, by two measures. The
-// way there and back together counts queues on the way back, where callers'
-// requests may fill the link; the difference of two clocks drifts. The less of
-// both is neither.
+// The time that the frame waited in queues on its way to the peer, estimated
+// from two measures. The round trip includes queues on the way back, where
+// requests of callers may fill the link; the difference of two clocks drifts.
+// The smaller of the two has neither fault.
 int64_t QueueDelay(uplink& u,
                    uplink_stream& stream,
                    micros now,
@@ -88,22 +88,23 @@
 }
 
 void Refill(uplink& u, micros now) {
-  const double passed =
+  const double elapsed =
       static_cast<double>((now - u.refilled_at).value) / kMicrosPerSecond;
   u.refilled_at = now;
-  u.tokens = std::min(u.tokens + passed * u.rate, BurstBytes(u));
+  u.tokens = std::min(u.tokens + elapsed * u.rate, BurstBytes(u));
 }
 
 void ReduceRate(uplink& u, micros now) {
-  const double passed =
+  const double elapsed =
       static_cast<double>((now - u.adjusted_at).value) / kMicrosPerSecond;
-  const double carried = static_cast<double>(u.delivered_bytes) / passed;
+  const double carried = static_cast<double>(u.delivered_bytes) / elapsed;
   const double slower = u.options.backoff_factor * carried;
   u.queue_seen_at = now;
-  const double before = u.rate > 0 ? u.rate : carried;
-  // One decision takes back at most half: a few frames that happen to arrive
-  // late carry few bytes, and say little of the link.
-  u.rate = std::max({std::min(before, slower), before / 2, u.options.min_rate});
+  const double previous = u.rate > 0 ? u.rate : carried;
+  // One adjustment at most halves the rate: a few frames that happen to arrive
+  // late hold few bytes and tell little about the link.
+  u.rate =
+      std::max({std::min(previous, slower), previous / 2, u.options.min_rate});
 }
 
 void IncreaseRate(uplink& u, micros now) {
@@ -117,13 +118,14 @@
     u.rate = std::min(u.rate, stated);
 }
 
-// Failure guarded against: this process is short of processor time, its frames
-// are late by that, and it takes this for a queue in the link: of 25 Mbit/s it
-// uses 1, and serves still less (seen on entries of a tenth of a core).
+// Failure guarded against: this process is short of processor time, which
+// delays its frames, and it takes the delay for a queue in the link: it uses 1
+// of 25 Mbit/s and serves still less. This happens on entries that have a tenth
+// of a core.
 void AdjustRate(uplink& u, micros now, micros own_wait) {
-  constexpr int64_t kWaysHere = 2;  // out, and back in
+  constexpr int64_t kDirections = 2;  // outgoing and incoming
   u.delay =
-      micros{std::max<int64_t>(0, u.min_delay - kWaysHere * own_wait.value)};
+      micros{std::max<int64_t>(0, u.min_delay - kDirections * own_wait.value)};
   if (u.delay > u.options.max_delay)
     ReduceRate(u, now);
   else if (u.rate > 0)
@@ -155,9 +157,10 @@
 // ---- [3] Payloads -----------------------------------------------------------
 
 bool MaySendPayload(uplink& u) {
-  const bool takes = u.rate <= 0 || u.tokens > static_cast<double>(u.planned);
-  u.payload_waits = u.payload_waits || !takes;
-  return takes;
+  const bool may_send =
+      u.rate <= 0 || u.tokens > static_cast<double>(u.planned);
+  u.payload_waits = u.payload_waits || !may_send;
+  return may_send;
 }
 
 void PlanPayload(uplink& u, size_t bytes) {
@@ -165,7 +168,7 @@
 }
 
 bool CompressesPayloads(const uplink& u) {
-  return u.rate > 0 && u.rate < u.options.pack_below;
+  return u.rate > 0 && u.rate < u.options.compress_below;
 }
 
 micros TimeOnLink(const uplink& u, size_t bytes) {
