--- a/src/core/lease_manager_orders.cc
+++ b/src/core/lease_manager_orders.cc
@@ -1,4 +1,4 @@
-// Orders of entries at the keeper of leased runs.
+// How the lease manager carries out the orders of entries.
 //
 // Contents
 //   [1] Starts and stops
@@ -21,141 +21,148 @@
 
 // ---- [1] Starts and stops ---------------------------------------------------
 
-// Room that runs should leave within the time that a start may wait.
-int64_t CpuFreedSoon(const lease_manager_state& k, micros now) {
-  constexpr double kLeastPace = 0.1;  // at a standstill nothing ends
+// The cpu that runs are expected to release within the time that a start may
+// wait.
+int64_t CpuFreedSoon(const lease_manager_state& m, micros now) {
+  constexpr double kMinPace = 0.1;  // at pace 0 no run would ever end
   int64_t cpu = 0;
-  for (const auto& [task, run] : k.runs) {
+  for (const auto& [task, run] : m.runs) {
     if (WaitsForResources(run))
       continue;
     const double expected_us =
-        run.start.expected_ms * 1000.0 / std::max(kLeastPace, k.pace);
+        run.start.expected_ms * 1000.0 / std::max(kMinPace, m.pace);
     const micros ends = run.since + micros{static_cast<int64_t>(expected_us)};
-    if (ends - now <= k.options.max_start_wait)
+    if (ends - now <= m.options.max_start_wait)
       cpu += run.start.need.cpu;
   }
   return cpu;
 }
 
-// Failure guarded against: entries place by what they heard some milliseconds
-// ago; two take the same room, and one's start is refused, by the hundred a
-// second. Each costs both sides a frame, and small entries, full with frames,
-// act late. On a worker with ten tasks one ends each 15 ms: a start that comes
-// too early by that waits here, in place of a frame back and another start.
-// Without a look at what ends soon, a start waits in vain beside other workers
-// with room.
-bool MayWait(const lease_manager_state& k, micros now, const resources& need) {
-  const double most =
-      k.options.max_waiting_share * static_cast<double>(k.worker.capacity.cpu);
-  return Fits(need, k.worker.capacity) &&
-         static_cast<double>(k.waiting_resources.cpu + need.cpu) <= most &&
-         need.cpu <= FreeResources(k).cpu + CpuFreedSoon(k, now);
+// Failure guarded against: entries place runs by reports that are some
+// milliseconds old; two of them take the same resources, and hundreds of starts
+// a second are refused. Each refusal costs both sides a frame, and small
+// entries that are overloaded with frames act late. On a worker with ten tasks
+// one ends every 15 ms, so a start that comes that much too early waits here,
+// which saves the refusal and a second start. It waits only if enough runs are
+// expected to end in time; otherwise another worker may have free resources.
+bool MayWait(const lease_manager_state& m, micros now, const resources& need) {
+  const double max_waiting =
+      m.options.max_waiting_share * static_cast<double>(m.worker.capacity.cpu);
+  return Fits(need, m.worker.capacity) &&
+         static_cast<double>(m.waiting_resources.cpu + need.cpu) <=
+             max_waiting &&
+         need.cpu <= FreeResources(m).cpu + CpuFreedSoon(m, now);
 }
 
-void QueueForResources(lease_manager_state& k, managed_run& run) {
+void QueueForResources(lease_manager_state& m, managed_run& run) {
   run.state = run_state::waiting;
-  k.waiting_starts.push_back(run.start.ref.task);
-  k.waiting_resources = k.waiting_resources + run.start.need;
-  ++k.starts_waited;
+  m.waiting_starts.push_back(run.start.ref.task);
+  m.waiting_resources = m.waiting_resources + run.start.need;
+  ++m.starts_waited;
 }
 
-void HandleRunStart(lease_manager_state& k,
+void HandleRunStart(lease_manager_state& m,
                     micros now,
                     incarnation owner_name,
                     run_owner& owner,
                     run_start start) {
   ++owner.starts_seen;
-  const auto there = k.runs.find(start.ref.task);
-  if (there != k.runs.end()) {
-    managed_run& run = there->second;
+  const auto existing = m.runs.find(start.ref.task);
+  if (existing != m.runs.end()) {
+    managed_run& run = existing->second;
     if (run.owner == owner_name && run.start.ref == start.ref)
       return;
     // Failure guarded against: a caller whose connection broke has sent its job
-    // again to another entry, and the first entry's run is still here. Two runs
-    // of one task never overlap: the older is stopped, the newer refused.
+    // again to another entry, and the run of the first entry is still in
+    // progress here. Two runs of one task must not overlap, so the older one is
+    // stopped and the newer one refused.
     if (run.owner != owner_name)
-      StopRun(k, now, run);
-    ReportEnd(k, owner_name, start.ref, run_end_kind::never_started, 0);
+      StopRun(m, now, run);
+    ReportEnd(m, owner_name, start.ref, run_end_kind::never_started, 0);
     return;
   }
-  // Failure guarded against: orders held up in the network or by a pause of
-  // this process arrive when their owner has given them up. They echo a stamp
-  // too old to vouch for anything.
-  const bool acceptable = !start.compressed && AcceptsLeasedWork(k, now) &&
-                          HasOwnerLease(k, now, owner_name);
-  const bool fits = Fits(start.need, FreeResourcesFor(k, now, owner_name));
-  if (!acceptable || (!fits && !MayWait(k, now, start.need))) {
-    ReportEnd(k, owner_name, start.ref, run_end_kind::never_started, 0);
+  // Failure guarded against: orders that were delayed in the network or by a
+  // pause of this process arrive after their owner has given them up. The stamp
+  // that they echo is too old to renew the owner lease.
+  const bool acceptable = !start.compressed && AcceptsLeasedWork(m, now) &&
+                          HasOwnerLease(m, now, owner_name);
+  const bool fits = Fits(start.need, FreeResourcesFor(m, now, owner_name));
+  if (!acceptable || (!fits && !MayWait(m, now, start.need))) {
+    ReportEnd(m, owner_name, start.ref, run_end_kind::never_started, 0);
     return;
   }
   managed_run run;
   run.owner = owner_name;
   run.since = now;
   run.start = std::move(start);
-  k.used = k.used + run.start.need;
+  m.used = m.used + run.start.need;
   const leased_task task = run.start.ref.task;
-  managed_run& row = k.runs.emplace(task, std::move(run)).first->second;
+  managed_run& row = m.runs.emplace(task, std::move(run)).first->second;
   if (fits) {
-    CallStart(k, now, row);
+    CallStart(m, now, row);
     return;
   }
-  QueueForResources(k, row);
-  // It believed in room that isn't there. As a refusal does, this also shows
-  // it how long its link takes: without it, links of 250 kB/s are found full
-  // so late that vouches run out (emulated world).
+  QueueForResources(m, row);
+  // The owner's view of the free resources is out of date. Like a refusal, this
+  // report also lets it measure the delay of its link: without it, an
+  // overloaded link of 250 kB/s is detected so late that owner leases expire
+  // (in the emulated world).
   owner.report_pending = true;
 }
 
-void HandleRunStop(lease_manager_state& k,
+void HandleRunStop(lease_manager_state& m,
                    micros now,
                    incarnation owner,
                    const run_ref& ref) {
-  const auto it = k.runs.find(ref.task);
-  if (it != k.runs.end() && it->second.owner == owner &&
+  const auto it = m.runs.find(ref.task);
+  if (it != m.runs.end() && it->second.owner == owner &&
       it->second.start.ref == ref)
-    StopRun(k, now, it->second);
+    StopRun(m, now, it->second);
 }
 
 // ---- [2] Payloads -----------------------------------------------------------
 
-// Tasks of a job follow each other and share its payload. One that can't be
-// unpacked stays packed, and is not started.
-void UnpackPayloads(lease_manager_state& k, std::vector<run_start>& starts) {
-  const run_start* before = nullptr;
+// The tasks of a job are adjacent and share its payload. A payload that can't
+// be decompressed stays as it is, and its task is not started.
+void DecompressPayloads(lease_manager_state& m,
+                        std::vector<run_start>& starts) {
+  const run_start* previous = nullptr;
   for (run_start& start : starts) {
-    const bool shared = before != nullptr && !before->compressed &&
+    const bool shared = previous != nullptr && !previous->compressed &&
                         start.compressed &&
-                        before->ref.task.job == start.ref.task.job;
+                        previous->ref.task.job == start.ref.task.job;
     if (shared) {
-      start.payload = before->payload;
+      start.payload = previous->payload;
       start.compressed = false;
     } else if (start.compressed) {
       std::optional<std::string> payload = Decompress(start.payload);
       if (!payload)
-        LogChange(k, "payload unreadable", start.ref.task.job);
+        LogChange(m, "payload unreadable", start.ref.task.job);
       start.compressed = !payload;
       start.payload = std::move(payload).value_or("");
     }
-    before = &start;
+    previous = &start;
   }
 }
 
 // ---- [3] New streams --------------------------------------------------------
 
-// A new stream of this owner: it names the runs that it ordered from this very
-// process and has heard no end of. What is here beyond those is stopped; what
-// it names and is not here never started, as its order went down with the older
-// stream.
-void ReconcileRuns(lease_manager_state& k,
+// Handles the first frame of a new stream of this owner. It lists the runs that
+// the owner ordered from this process and whose end it has not received. Other
+// runs of the owner here are stopped. Listed runs that are not here have never
+// started, as their order was lost with the older stream.
+void ReconcileRuns(lease_manager_state& m,
                    micros now,
                    incarnation owner_name,
                    run_owner& owner,
                    const lease_orders& orders) {
-  // Failure guarded against: this process has forgotten the entry (it said
-  // goodbye, or was silent for long) and counts its ends from 1 again; the
-  // entry takes each for one that it has had, and its jobs never end.
-  const uint64_t heard = std::max(orders.last_received_end, orders.acked_end);
-  owner.next_end = std::max(owner.next_end, heard + 1);
+  // Failure guarded against: this process has dropped its state of the entry
+  // (after a shutdown notice or a long silence) and numbers its ends from 1
+  // again; the entry takes each for one that it has received, and its jobs
+  // never end.
+  const uint64_t received =
+      std::max(orders.last_received_end, orders.acked_end);
+  owner.next_end = std::max(owner.next_end, received + 1);
   owner.starts_seen = 0;
   owner.resolved_seen = 0;
   owner.ends_reported = 0;
@@ -163,16 +170,16 @@
   owner.stragglers.clear();
   owner.report_pending = true;
   const std::set<run_ref> wanted(orders.known.begin(), orders.known.end());
-  for (auto& [task, run] : k.runs) {
+  for (auto& [task, run] : m.runs) {
     if (run.owner == owner_name && wanted.count(run.start.ref) == 0)
-      StopRun(k, now, run);
+      StopRun(m, now, run);
   }
   for (const run_ref& ref : wanted) {
-    const auto it = k.runs.find(ref.task);
-    const bool here = it != k.runs.end() && it->second.owner == owner_name &&
+    const auto it = m.runs.find(ref.task);
+    const bool here = it != m.runs.end() && it->second.owner == owner_name &&
                       it->second.start.ref == ref;
     if (!here && !HasEnd(owner, ref))
-      ReportEnd(k, owner_name, ref, run_end_kind::never_started, 0);
+      ReportEnd(m, owner_name, ref, run_end_kind::never_started, 0);
   }
 }
 
@@ -180,36 +187,36 @@
 
 // ---- [4] A frame's orders ---------------------------------------------------
 
-void HandleLeaseOrders(lease_manager_state& k,
+void HandleLeaseOrders(lease_manager_state& m,
                        micros now,
                        incarnation owner_name,
                        lease_orders orders) {
-  run_owner& owner = k.owners[owner_name];
-  // No frame was sent later than now.
+  run_owner& owner = m.owners[owner_name];
+  // A stamp can't be later than now.
   const micros sent_after = std::min(micros{orders.echo}, now);
   owner.owner_lease_until = std::max(owner.owner_lease_until,
-                                     sent_after + k.options.bounds.owner_lease);
+                                     sent_after + m.options.bounds.owner_lease);
   owner.received_stamp = orders.sent;
   owner.received_at = now;
   if (orders.is_first)
-    ReconcileRuns(k, now, owner_name, owner, orders);
-  for (const resolved_end& settled : orders.resolved_ends)
-    ResolveHeldEnd(k, now, owner_name, settled);
+    ReconcileRuns(m, now, owner_name, owner, orders);
+  for (const resolved_end& resolved : orders.resolved_ends)
+    ResolveHeldEnd(m, now, owner_name, resolved);
   owner.resolved_seen += orders.resolved_ends.size();
-  AckEnds(k, owner, orders.acked_end);
+  AckEnds(m, owner, orders.acked_end);
   owner.wanted_cpu = orders.wanted_cpu;
   owner.follows_resources = orders.follows_resources;
   for (const run_ref& ref : orders.stops)
-    HandleRunStop(k, now, owner_name, ref);
-  const bool answers = owner_name == k.grantee && !orders.starts.empty();
-  UnpackPayloads(k, orders.starts);
+    HandleRunStop(m, now, owner_name, ref);
+  const bool answers = owner_name == m.grantee && !orders.starts.empty();
+  DecompressPayloads(m, orders.starts);
   for (run_start& start : orders.starts)
-    HandleRunStart(k, now, owner_name, owner, std::move(start));
+    HandleRunStart(m, now, owner_name, owner, std::move(start));
   if (answers)
     owner.offer_pause = {};
-  if (answers || (owner_name == k.grantee && owner.wanted_cpu == 0)) {
-    k.granted_until = micros{0};
-    k.grant_pending = false;
+  if (answers || (owner_name == m.grantee && owner.wanted_cpu == 0)) {
+    m.granted_until = micros{0};
+    m.grant_pending = false;
   }
 }
 
--- a/src/core/lease_manager_sessions.cc
+++ b/src/core/lease_manager_sessions.cc
@@ -1,13 +1,13 @@
-// Lives of the worker beside a sidecar: begun by its announcements, or by an
-// answer that names another start; ended by another life's answer at its
-// address. Words about a life (another one's announcement, a goodbye) may be
-// late: they end none.
+// Sessions of the worker that a sidecar serves. An announcement begins one, or
+// an answer with another start time; an answer of another session at the
+// worker's address ends it. Messages about a session (the announcement of
+// another one, a deregistration) may be late, so they alone end none.
 //
 // Contents
-//   [1] Ends
-//   [2] Begins
+//   [1] End of a session
+//   [2] Begin of a session
 //   [3] Announcements
-//   [4] Goodbyes
+//   [4] Deregistration
 
 #include "cassiaferry/lease_manager.h"
 
@@ -24,101 +24,102 @@
 
 }  // namespace
 
-// ---- [1] Ends ---------------------------------------------------------------
+// ---- [1] End of a session ---------------------------------------------------
 
-void MarkReconciled(lease_manager_state& k) {
-  if (k.reconciled)
+void MarkReconciled(lease_manager_state& m) {
+  if (m.reconciled)
     return;
-  k.reconciled = true;
-  for (auto& [name, owner] : k.owners)
+  m.reconciled = true;
+  for (auto& [name, owner] : m.owners)
     owner.report_pending = true;
 }
 
 namespace {
 
-void RecordPastSession(lease_manager_state& k, const worker_session& life) {
-  if (k.past_sessions.size() >= kMaxPastSessions)
-    k.past_sessions.clear();
-  k.past_sessions.insert(life);
+void RecordPastSession(lease_manager_state& m, const worker_session& session) {
+  if (m.past_sessions.size() >= kMaxPastSessions)
+    m.past_sessions.clear();
+  m.past_sessions.insert(session);
 }
 
-// What this life listed, numbered and ran is no more.
-void EndSession(lease_manager_state& k) {
-  k.has_worker = false;
-  k.announced = false;
-  k.open_poll = 0;
-  k.orphan_runs.clear();
-  k.held_ends.clear();
-  k.expiry_pending_until = {};
-  for (auto& [name, owner] : k.owners) {
+// Drops the state that belongs to the current session.
+void EndSession(lease_manager_state& m) {
+  m.has_worker = false;
+  m.announced = false;
+  m.open_poll = 0;
+  m.orphan_runs.clear();
+  m.held_ends.clear();
+  m.expiry_pending_until = {};
+  for (auto& [name, owner] : m.owners) {
     owner.report_pending = true;
-    for (reported_end& told : owner.ends)
-      told.worker_end_number = 0;
+    for (reported_end& reported : owner.ends)
+      reported.worker_end_number = 0;
   }
 }
 
-// ---- [2] Begins -------------------------------------------------------------
+// ---- [2] Begin of a session -------------------------------------------------
 
-// Failure guarded against: orders to the life before reach this one, if it has
-// the same id, or what an earlier sidecar started still runs. Nothing starts
-// until the worker has seen a fence above all of them, and has listed nothing
-// that this process doesn't know.
-void BeginSession(lease_manager_state& k,
+// Failure guarded against: calls to the previous session reach this one, if it
+// has the same id, or runs that an earlier sidecar started are still in
+// progress. Nothing starts until the worker has seen a fence above all of
+// theirs and has listed no run that is unknown to this process.
+void BeginSession(lease_manager_state& m,
                   micros now,
-                  const worker_session& life) {
-  k.past_sessions.erase(life);
-  ++k.sessions_met;
-  k.has_worker = true;
-  k.announced = false;
-  k.worker.session = life;
-  k.sequence = 0;
-  k.draining = false;
-  k.reconciled = false;
-  k.has_clock = false;
-  k.seen = 0;
-  k.session_since = now;
-  k.last_answer = now;
-  k.successor_poll_failed = false;
-  k.deregistered = false;
-  k.fence = std::max(k.fence + 1, k.options.first_fence);
-  k.pace = 1;
-  k.reported_pace = 1;
-  for (auto& [name, owner] : k.owners)
+                  const worker_session& session) {
+  m.past_sessions.erase(session);
+  ++m.sessions_met;
+  m.has_worker = true;
+  m.announced = false;
+  m.worker.session = session;
+  m.sequence = 0;
+  m.draining = false;
+  m.reconciled = false;
+  m.has_clock = false;
+  m.seen = 0;
+  m.session_since = now;
+  m.last_answer = now;
+  m.successor_poll_failed = false;
+  m.deregistered = false;
+  m.fence = std::max(m.fence + 1, m.options.first_fence);
+  m.pace = 1;
+  m.reported_pace = 1;
+  for (auto& [name, owner] : m.owners)
     owner.report_pending = true;
 }
 
 }  // namespace
 
-// Failure guarded against: a worker starts again under its id, and what is
-// known of the life before is held against the new one. Its announcements and
-// the ends of its runs, numbered from 1 again, pass for known ones: tasks that
-// are done count as lost, and run again; it says that it leaves, and still gets
-// work. So its start is a part of its name, and all that was numbered is
-// forgotten with the life before.
+// Failure guarded against: a worker starts again under its id, and state of the
+// previous session is applied to the new one. Its announcements and the ends of
+// its runs, numbered from 1 again, are taken for known ones: tasks that are
+// done count as lost and run again, and a worker that announces that it drains
+// still gets work. So a session is identified by id and start time, and all
+// numbers are forgotten with the previous session.
 //
-// What was ordered of that life is over, unless the order reached the new one.
-// So each run is stopped there under its number, and told as lost once the
-// worker has answered that and doesn't list it: then it can't begin any more.
-void HandleWorkerRestart(lease_manager_state& k,
+// The runs of the previous session are over, unless their start reached the new
+// one. So each run is stopped there under its number, and reported as lost once
+// the worker has answered the stop and doesn't list the run: after that it
+// can't begin any more.
+void HandleWorkerRestart(lease_manager_state& m,
                          micros now,
-                         const worker_session& life) {
-  LogChange(k, "worker started again",
-            ToText(life) + ", before " +
-                std::to_string(k.worker.session.started_ms) + ", runs " +
-                std::to_string(k.runs.size()));
-  RecordPastSession(k, k.worker.session);
-  EndSession(k);
-  BeginSession(k, now, life);
-  // What was granted by the clock of the life before may be as long as the
-  // worker allows.
-  k.leases_end_at = std::max(
-      k.leases_end_at, now + ElapsedByAnyClock(k.options.bounds.max_lease));
-  for (auto& [task, run] : k.runs) {
+                         const worker_session& session) {
+  LogChange(m, "worker restarted",
+            ToText(session) + ", before " +
+                std::to_string(m.worker.session.started_ms) + ", runs " +
+                std::to_string(m.runs.size()));
+  RecordPastSession(m, m.worker.session);
+  EndSession(m);
+  BeginSession(m, now, session);
+  // A lease granted by the clock of the previous session may be as long as the
+  // longest lease that the worker accepts.
+  m.leases_end_at = std::max(
+      m.leases_end_at, now + ElapsedByAnyClock(m.options.bounds.max_lease));
+  for (auto& [task, run] : m.runs) {
     run.session_ended = true;
     if (WaitsForResources(run))
       run.state = run_state::withdrawn;
     else
-      RequestStop(k, now, run);
+      RequestStop(m, now, run);
   }
 }
 
@@ -126,182 +127,192 @@
 
 namespace {
 
-// Failure guarded against: an announcement held up by a cut arrives after its
-// sender has crashed and a new life has announced itself. Lives that are over
-// stay over, also those that this process has never met: they started earlier.
-// Should the worker's clock have gone back, its answers tell which life it is.
-bool IsPastSession(const lease_manager_state& k, const worker_session& life) {
-  if (k.past_sessions.count(life) != 0)
+// Failure guarded against: an announcement delayed by a network partition
+// arrives after its sender has crashed and a new session has announced itself.
+// A session that is over stays over, and so does one that this process has
+// never known and that started earlier. If the worker's clock went back, its
+// answers show which session it is.
+bool IsPastSession(const lease_manager_state& m,
+                   const worker_session& session) {
+  if (m.past_sessions.count(session) != 0)
     return true;
-  return k.has_worker && life.started_ms != 0 &&
-         life.started_ms < k.worker.session.started_ms;
+  return m.has_worker && session.started_ms != 0 &&
+         session.started_ms < m.worker.session.started_ms;
 }
 
-void LogIgnoredAnnouncement(lease_manager_state& k,
+void LogIgnoredAnnouncement(lease_manager_state& m,
                             const leased_worker_announced& e,
                             const std::string& why) {
-  LogChange(k, "announcement passed over",
+  LogChange(m, "announcement ignored",
             ToText(e.info.session) + ", number " + std::to_string(e.sequence) +
                 (e.draining ? ", draining; " : "; ") + why);
 }
 
-// Of the id called, or of any if none is.
-void EnsureSession(lease_manager_state& k,
+// Begins this session unless it is the current one. It has the id of the
+// current session, if there is one.
+void EnsureSession(lease_manager_state& m,
                    micros now,
-                   const worker_session& life) {
-  if (!k.has_worker)
-    BeginSession(k, now, life);
-  else if (k.worker.session != life)
-    HandleWorkerRestart(k, now, life);
+                   const worker_session& session) {
+  if (!m.has_worker)
+    BeginSession(m, now, session);
+  else if (m.worker.session != session)
+    HandleWorkerRestart(m, now, session);
 }
 
-void UpdateWorkerInfo(lease_manager_state& k,
+void UpdateWorkerInfo(lease_manager_state& m,
                       const leased_worker_announced& e) {
-  const bool first = !k.announced;
-  const bool changed = k.draining != e.draining || !(k.worker == e.info);
-  k.announced = true;
-  k.sequence = e.sequence;
-  k.draining = e.draining;
-  k.worker = e.info;
+  const bool first = !m.announced;
+  const bool changed = m.draining != e.draining || !(m.worker == e.info);
+  m.announced = true;
+  m.sequence = e.sequence;
+  m.draining = e.draining;
+  m.worker = e.info;
   if (!first && !changed)
     return;
   const char* what = first        ? "worker announced"
                      : e.draining ? "worker drains"
                                   : "worker changed";
-  LogChange(k, what,
+  LogChange(m, what,
             ToText(e.info.session) + ", cpu " +
                 std::to_string(e.info.capacity.cpu) +
                 (e.draining ? ", draining" : ""));
-  for (auto& [name, owner] : k.owners) {
+  for (auto& [name, owner] : m.owners) {
     owner.worker_reported = false;
     owner.report_pending = true;
   }
 }
 
-// Failure guarded against: an announcement of an earlier life, held up in the
-// network, reaches a process that hasn't met that life since its own start. The
-// order of the two is unknown, or told by clocks that may have gone back. Taken
-// for a new life, it would end runs that go on, and the true life would be
-// called no more.
-void VerifySuccessor(lease_manager_state& k,
+// Failure guarded against: a delayed announcement of an earlier session reaches
+// a process that hasn't known that session since its own start. The order of
+// the two is unknown, or known only from clocks that may have gone back. If the
+// earlier one were taken for a new session, runs in progress would count as
+// over, and the real session would not be called any more. So the worker is
+// polled first.
+void VerifySuccessor(lease_manager_state& m,
                      micros now,
                      leased_worker_announced e) {
-  const bool asks = !k.successor;
-  if (asks || k.successor->info.session != e.info.session)
-    LogChange(k, "announcement of another life, the worker is asked",
-              ToText(k.worker.session) + ", announced " +
+  const bool is_first = !m.successor;
+  if (is_first || m.successor->info.session != e.info.session)
+    LogChange(m, "announcement of another session, worker polled",
+              ToText(m.worker.session) + ", announced " +
                   ToText(e.info.session) + ", runs " +
-                  std::to_string(k.runs.size()));
-  k.successor = std::move(e);
-  if (!asks)
+                  std::to_string(m.runs.size()));
+  m.successor = std::move(e);
+  if (!is_first)
     return;
-  k.polls_before_successor = k.polls_sent;
-  k.successor_poll_failed = false;
-  CallPoll(k, now);
+  m.polls_before_successor = m.polls_sent;
+  m.successor_poll_failed = false;
+  CallPoll(m, now);
 }
 
-void AdoptSuccessor(lease_manager_state& k, micros now) {
-  if (!k.successor)
+void AdoptSuccessor(lease_manager_state& m, micros now) {
+  if (!m.successor)
     return;
-  const leased_worker_announced e = std::move(*k.successor);
-  k.successor.reset();
-  BeginSession(k, now, e.info.session);
-  UpdateWorkerInfo(k, e);
+  const leased_worker_announced e = std::move(*m.successor);
+  m.successor.reset();
+  BeginSession(m, now, e.info.session);
+  UpdateWorkerInfo(m, e);
 }
 
 }  // namespace
 
-void IgnoreSuccessor(lease_manager_state& k) {
-  if (!k.successor)
+void IgnoreSuccessor(lease_manager_state& m) {
+  if (!m.successor)
     return;
-  LogIgnoredAnnouncement(k, *k.successor,
-                         "the worker answers as " + ToText(k.worker.session));
-  k.successor.reset();
+  LogIgnoredAnnouncement(m, *m.successor,
+                         "the worker answers as " + ToText(m.worker.session));
+  m.successor.reset();
 }
 
-// A life that was only silent may be announced again, and is then called again.
-void LoseWorker(lease_manager_state& k,
+// A session that was only silent may be announced again; calls to it then
+// resume.
+void LoseWorker(lease_manager_state& m,
                 micros now,
                 session_end_proof proof,
                 const std::string& why) {
-  LogChange(k, "worker lost",
-            ToText(k.worker.session) + ", runs " +
-                std::to_string(k.runs.size()) + ", " + why);
-  EndAll(k, now, run_end_kind::lost);
-  if (proof == session_end_proof::answer || k.deregistered)
-    RecordPastSession(k, k.worker.session);
-  EndSession(k);
-  AdoptSuccessor(k, now);
+  LogChange(m, "worker lost",
+            ToText(m.worker.session) + ", runs " +
+                std::to_string(m.runs.size()) + ", " + why);
+  EndAll(m, now, run_end_kind::lost);
+  if (proof == session_end_proof::answer || m.deregistered)
+    RecordPastSession(m, m.worker.session);
+  EndSession(m);
+  AdoptSuccessor(m, now);
 }
 
-void HandleAnnouncement(lease_manager_state& k,
+void HandleAnnouncement(lease_manager_state& m,
                         micros now,
                         leased_worker_announced e) {
-  worker_session& life = e.info.session;
-  if (k.has_worker && life.started_ms == 0 && life.id == k.worker.session.id)
-    life = k.worker.session;
-  if (IsPastSession(k, life)) {
-    LogIgnoredAnnouncement(k, e, "that life is over");
+  worker_session& session = e.info.session;
+  if (m.has_worker && session.started_ms == 0 &&
+      session.id == m.worker.session.id)
+    session = m.worker.session;
+  if (IsPastSession(m, session)) {
+    LogIgnoredAnnouncement(m, e, "that session is over");
     return;
   }
-  if (k.has_worker && k.worker.session.id != life.id) {
-    VerifySuccessor(k, now, std::move(e));
+  if (m.has_worker && m.worker.session.id != session.id) {
+    VerifySuccessor(m, now, std::move(e));
     return;
   }
-  EnsureSession(k, now, life);
-  if (k.deregistered) {
-    LogIgnoredAnnouncement(k, e, "that life has said goodbye");
+  EnsureSession(m, now, session);
+  if (m.deregistered) {
+    LogIgnoredAnnouncement(m, e, "that session has deregistered");
     return;
   }
-  if (k.announced && e.sequence < k.sequence) {
-    LogIgnoredAnnouncement(k, e, "newest known " + std::to_string(k.sequence));
+  if (m.announced && e.sequence < m.sequence) {
+    LogIgnoredAnnouncement(m, e, "newest known " + std::to_string(m.sequence));
     return;
   }
-  UpdateWorkerInfo(k, e);
+  UpdateWorkerInfo(m, e);
 }
 
-// ---- [4] Goodbyes -----------------------------------------------------------
+// ---- [4] Deregistration -----------------------------------------------------
 
 namespace {
 
-// It can end within the lease that is left, and has more work behind it than
-// waiting for that lease takes, should the worker end first: nobody learns
-// before then that it is over.
-bool IsWorthFinishing(const lease_manager_state& k,
+// Whether a run may continue after the worker has deregistered. It must be able
+// to end within the remaining lease. It must also have run for longer than that
+// lease lasts: if the worker terminates first, the run is known to be over only
+// when the lease has expired.
+bool IsWorthFinishing(const lease_manager_state& m,
                       micros now,
                       const managed_run& run) {
   if (run.state != run_state::running || run.percent == 0)
     return false;
-  const micros margin = k.options.bounds.margin;
+  const micros margin = m.options.bounds.margin;
   const micros age = now - run.since;
   const micros left{age.value * (100 - run.percent) / run.percent};
-  return now + left + margin <= k.leases_end_at &&
-         now + age >= k.leases_end_at + margin;
+  return now + left + margin <= m.leases_end_at &&
+         now + age >= m.leases_end_at + margin;
 }
 
 }  // namespace
 
-// Failure guarded against: a worker that has said goodbye still has to end, and
-// goes on for seconds if its goodbye isn't confirmed. Runs that count as lost
-// by then start elsewhere beside those here. No lease is extended after it, so
-// what can't end within the one it has is stopped: while the worker answers,
-// that shows sooner that the run is over.
-void HandleDeregistration(lease_manager_state& k,
+// Failure guarded against: a worker that has deregistered still has to
+// terminate, and continues for seconds if its deregistration isn't confirmed.
+// If its runs counted as lost at once, their tasks would run elsewhere at the
+// same time. The lease is not extended any more, so runs that can't end within
+// it are stopped: while the worker answers, this shows sooner that they are
+// over.
+void HandleDeregistration(lease_manager_state& m,
                           micros now,
-                          const worker_session& life) {
-  const bool untold = life.started_ms == 0 && life.id == k.worker.session.id;
-  if (!k.has_worker || k.deregistered || !(untold || life == k.worker.session))
+                          const worker_session& session) {
+  const bool unknown_start =
+      session.started_ms == 0 && session.id == m.worker.session.id;
+  if (!m.has_worker || m.deregistered ||
+      !(unknown_start || session == m.worker.session))
     return;
   LogChange(
-      k, "worker said goodbye",
-      ToText(k.worker.session) + ", runs " + std::to_string(k.runs.size()));
-  k.deregistered = true;
-  for (auto& [task, run] : k.runs) {
-    if (!IsWorthFinishing(k, now, run))
-      StopRun(k, now, run);
+      m, "worker deregistered",
+      ToText(m.worker.session) + ", runs " + std::to_string(m.runs.size()));
+  m.deregistered = true;
+  for (auto& [task, run] : m.runs) {
+    if (!IsWorthFinishing(m, now, run))
+      StopRun(m, now, run);
   }
-  StartWaiting(k, now);
-  for (auto& [name, owner] : k.owners)
+  StartWaiting(m, now);
+  for (auto& [name, owner] : m.owners)
     owner.report_pending = true;
 }
 
--- a/src/core/lease_manager_systems.h
+++ b/src/core/lease_manager_systems.h
@@ -1,8 +1,9 @@
-// What the files of the lease keeper share. Private to src/core.
+// Functions shared by the source files of the lease manager. Private to
+// src/core.
 //
 // Contents
-//   [1] Keeper
-//   [2] Lives
+//   [1] Manager
+//   [2] Sessions
 //   [3] Ends
 //   [4] Pace
 
@@ -16,103 +17,102 @@
 
 namespace cassiaferry {
 
-// ---- [1] Keeper (lease_manager.cc)
-// -------------------------------------------
+// ---- [1] Manager (lease_manager.cc) -----------------------------------------
 
-void LogChange(lease_manager_state& k, const char* what, std::string detail);
-bool HasOwnerLease(const lease_manager_state& k, micros now, incarnation owner);
-// The worker has not been called.
+void LogChange(lease_manager_state& m, const char* what, std::string detail);
+bool HasOwnerLease(const lease_manager_state& m, micros now, incarnation owner);
+// Whether the run waits for resources; the worker has not been called for it.
 inline bool WaitsForResources(const managed_run& run) {
   return run.state == run_state::waiting || run.state == run_state::withdrawn;
 }
-// Calls the worker, once more if it was called before; extends its lease.
-void CallStart(lease_manager_state& k, micros now, managed_run& run);
-// Asks what runs, beside a look that is under way: that one's answer is passed
-// over.
-void CallPoll(lease_manager_state& k, micros now);
-// What waits for room starts, or is refused when it has waited for too long.
-void StartWaiting(lease_manager_state& k, micros now);
-// Asks the worker to stop a run that it may have been told to start.
-void RequestStop(lease_manager_state& k, micros now, managed_run& run);
-// The run's end is told once the worker lists it, or no longer runs it.
-void StopRun(lease_manager_state& k, micros now, managed_run& run);
+// Sends the start to the worker, again if it was sent before; extends the
+// lease.
+void CallStart(lease_manager_state& m, micros now, managed_run& run);
+// Sends a status poll. If another poll is open, its answer will be ignored.
+void CallPoll(lease_manager_state& m, micros now);
+// Starts the waiting runs for which resources are free, and refuses those that
+// have waited too long.
+void StartWaiting(lease_manager_state& m, micros now);
+// Sends a stop for a run whose start the worker may have received.
+void RequestStop(lease_manager_state& m, micros now, managed_run& run);
+// Stops a run. Its end is reported once the worker lists the end or no longer
+// lists the run.
+void StopRun(lease_manager_state& m, micros now, managed_run& run);
 
-// ---- [2] Lives (lease_manager_sessions.cc)
-// --------------------------------------------
+// ---- [2] Sessions (lease_manager_sessions.cc) -------------------------------
 
-// Nothing runs on the worker that this process doesn't know.
-void MarkReconciled(lease_manager_state& k);
-// What shows that nothing runs on a life any more.
+// Records that this process knows every run on the worker.
+void MarkReconciled(lease_manager_state& m);
+// The evidence that no run of a session is left.
 enum class session_end_proof : uint8_t {
-  answer,  // the life is over: another one answers in its place
-  lease,   // it is silent, and no lease that it was granted can be left
+  answer,  // another session answers at its address
+  lease,   // it is silent, and no lease granted to it can be left
 };
-// Nothing of what ran there does any more. `why`: for the log.
-void LoseWorker(lease_manager_state& k,
+// Ends the current session; its runs are reported as lost. `why`: for the log.
+void LoseWorker(lease_manager_state& m,
                 micros now,
                 session_end_proof proof,
                 const std::string& why);
-// Some word says that the life called is over, and its answers don't show it
-// yet: nothing new starts there.
-inline bool SessionMayBeOver(const lease_manager_state& k) {
-  return k.successor.has_value() || k.deregistered;
+// Whether an announcement or a deregistration says that the current session is
+// over while its answers don't show that yet. Nothing new starts then.
+inline bool SessionMayBeOver(const lease_manager_state& m) {
+  return m.successor.has_value() || m.deregistered;
 }
-// The life called has answered since the other one was announced.
-void IgnoreSuccessor(lease_manager_state& k);
-// The worker has started again under its id, as this life.
-void HandleWorkerRestart(lease_manager_state& k,
+// Drops the announced successor: the current session has answered since.
+void IgnoreSuccessor(lease_manager_state& m);
+// Handles the start of a new session under the same worker id.
+void HandleWorkerRestart(lease_manager_state& m,
                          micros now,
-                         const worker_session& life);
-void HandleAnnouncement(lease_manager_state& k,
+                         const worker_session& session);
+void HandleAnnouncement(lease_manager_state& m,
                         micros now,
                         leased_worker_announced e);
-void HandleDeregistration(lease_manager_state& k,
+void HandleDeregistration(lease_manager_state& m,
                           micros now,
-                          const worker_session& life);
+                          const worker_session& session);
 
-// ---- [3] Ends (lease_manager_ends.cc)
-// ----------------------------------------------
+// ---- [3] Ends (lease_manager_ends.cc) ---------------------------------------
 
-void ReportEnd(lease_manager_state& k,
+void ReportEnd(lease_manager_state& m,
                incarnation owner_name,
                const run_ref& ref,
                run_end_kind how,
                uint32_t run_ms,
                uint64_t listed = 0);
-void HoldEnd(lease_manager_state& k,
+void HoldEnd(lease_manager_state& m,
              micros now,
              incarnation owner,
              const listed_end& end,
              uint32_t run_ms);
-// Ends up to this number may be forgotten by the worker.
-uint64_t AckedEnds(const lease_manager_state& k);
-// `listed`: the worker's number of the end; 0: it listed none.
-void EndRun(lease_manager_state& k,
+// The number up to which the worker may forget its ends.
+uint64_t AckedEnds(const lease_manager_state& m);
+// Ends a run and reports that to its owner. `listed`: the worker's number of
+// the end; 0: the worker has listed none.
+void EndRun(lease_manager_state& m,
             micros now,
             const leased_task& task,
             run_end_kind how,
             uint64_t listed = 0);
-void EndAll(lease_manager_state& k, micros now, run_end_kind how);
+void EndAll(lease_manager_state& m, micros now, run_end_kind how);
 bool HasEnd(const run_owner& owner, const run_ref& ref);
-void AckEnds(lease_manager_state& k, run_owner& owner, uint64_t through);
-void ResolveHeldEnd(lease_manager_state& k,
+void AckEnds(lease_manager_state& m, run_owner& owner, uint64_t through);
+void ResolveHeldEnd(lease_manager_state& m,
                     micros now,
                     incarnation by,
-                    const resolved_end& settled);
-void CheckLeaseExpiry(lease_manager_state& k, micros now);
-std::vector<run_end> UnclaimedEnds(const lease_manager_state& k, micros now);
+                    const resolved_end& resolved);
+void CheckLeaseExpiry(lease_manager_state& m, micros now);
+std::vector<run_end> UnclaimedEnds(const lease_manager_state& m, micros now);
 
-// ---- [4] Pace (lease_manager_pace.cc)
-// ----------------------------------------------
+// ---- [4] Pace (lease_manager_pace.cc) ---------------------------------------
 
-void AddProgress(lease_manager_state& k,
+void AddProgress(lease_manager_state& m,
                  micros now,
                  managed_run& run,
                  uint32_t percent);
-void MeasurePace(lease_manager_state& k, micros now);
-// A slow worker that gets nothing would be slow for ever.
-void DecayPace(lease_manager_state& k, micros now);
-void FindStragglers(lease_manager_state& k, micros now);
+void MeasurePace(lease_manager_state& m, micros now);
+// Moves the pace of a worker without runs back towards 1.
+void DecayPace(lease_manager_state& m, micros now);
+void FindStragglers(lease_manager_state& m, micros now);
 
 }  // namespace cassiaferry
 
