--- a/tests/link_unit_test.cc
+++ b/tests/link_unit_test.cc
@@ -1,7 +1,7 @@
-// What travels between entries and sidecars on links that carry little.
+// What entries and sidecars send over links of low capacity.
 //
 // Contents
-//   [1] Packing
+//   [1] Compression
 //   [2] The rate of a link
 //   [3] Configuration on request
 
@@ -17,7 +17,7 @@
 namespace cassiaferry {
 namespace {
 
-// ---- [1] Packing ------------------------------------------------------------
+// ---- [1] Compression --------------------------------------------------------
 
 std::string Letters(size_t count, unsigned seed) {
   std::minstd_rand draw(seed);
@@ -27,7 +27,7 @@
   return text;
 }
 
-TEST_CASE("pack_any_text_comes_back") {
+TEST_CASE("compress_any_text_round_trips") {
   for (size_t size : {0u, 1u, 200u, 4000u, 300'000u}) {
     const std::string text = Letters(size, static_cast<unsigned>(size) + 1);
     const auto back = Decompress(Compress(text));
@@ -36,28 +36,29 @@
   }
 }
 
-TEST_CASE("pack_letters_of_sixteen_take_about_half") {
+TEST_CASE("compress_text_of_sixteen_letters_takes_about_half") {
   REQUIRE(Compress(Letters(2400, 7)).size() < 1400);
 }
 
-TEST_CASE("unpack_cut_short_or_foreign_refused") {
-  const std::string packed = Compress(Letters(4000, 1));
-  for (size_t keep : {size_t{0}, size_t{1}, packed.size() - 1})
-    REQUIRE_FALSE(Decompress(packed.substr(0, keep)).has_value());
+TEST_CASE("decompress_truncated_or_foreign_refused") {
+  const std::string compressed = Compress(Letters(4000, 1));
+  for (size_t keep : {size_t{0}, size_t{1}, compressed.size() - 1})
+    REQUIRE_FALSE(Decompress(compressed.substr(0, keep)).has_value());
   REQUIRE_FALSE(Decompress("\xff\xff\xff not packed").has_value());
 }
 
-// What an operator would see: a process ends for want of memory. Cause: a few
-// kilobytes that unpack to gigabytes.
-TEST_CASE("unpack_beyond_bound_refused") {
+// Guards against a process that runs out of memory as a few kilobytes
+// decompress to gigabytes.
+TEST_CASE("decompress_beyond_bound_refused") {
   REQUIRE_FALSE(
       Decompress(Compress(std::string(kMaxDecompressedBytes * 2, 'a'))));
 }
 
 // ---- [2] The rate of a link -------------------------------------------------
 
-// One stream over a link of 250 kB/s, 1 ms each way. A frame with a payload
-// goes each millisecond at which one may; the peer reports every 20 ms.
+// One stream over a link of 250 kB/s with a delay of 1 ms each way. In each
+// millisecond a frame with a payload is sent if the rate allows it; the peer
+// reports every 20 ms.
 struct uplink_on_thin_link {
   static constexpr double kRate = 250'000;
   static constexpr size_t kBytes = 1300;
@@ -92,7 +93,7 @@
                   {newest.sent, transit, held});
   }
 
-  // Payloads wait all the time, or one comes each so many milliseconds.
+  // A payload arrives every `every_ms`; at 1 there is always one waiting.
   void Play(micros time, int64_t every_ms = 1) {
     const micros until = now + time;
     for (int64_t step = 0; now < until; ++step, now = now + kStep) {
@@ -121,7 +122,8 @@
   frame newest;
 };
 
-TEST_CASE_METHOD(uplink_on_thin_link, "rate_stated_no_queue_and_well_used") {
+TEST_CASE_METHOD(uplink_on_thin_link,
+                 "rate_configured_no_queue_and_well_used") {
   uplink_options options;
   options.configured_rate = kRate;
   Begin(options);
@@ -130,8 +132,9 @@
   REQUIRE(static_cast<double>(sent) > 0.7 * kRate * 10);
 }
 
-// What a user sees: an entry that took more than its link carries serves nobody
-// for the rest of the day. Nobody tells it what the link carries: it learns.
+// Guards against an entry that serves nobody any more once it has sent more
+// than its link carries. The capacity isn't configured, so the entry has to
+// estimate it.
 TEST_CASE_METHOD(uplink_on_thin_link, "rate_unknown_queue_is_drained_in_time") {
   Begin({});
   Play(Millis(2000));
@@ -149,9 +152,9 @@
   REQUIRE(u.rate == 0);
 }
 
-// What a user sees: callers are refused for want of a link that is idle. Order:
-// their requests fill the way in; reports of peers come late.
-TEST_CASE_METHOD(uplink_on_thin_link, "way_back_full_no_bound_is_set") {
+// Guards against callers that are refused while the outgoing link is idle:
+// their requests fill the incoming link, so reports of peers are late.
+TEST_CASE_METHOD(uplink_on_thin_link, "incoming_link_full_no_bound_is_set") {
   Begin({});
   Play(Millis(2000), 20);
   way_back = Millis(300);
@@ -159,10 +162,10 @@
   REQUIRE(u.rate == 0);
 }
 
-// What a user sees: a small entry under load sends payloads at a twentieth of
-// what its link carries, and serves still less. Order: it is short of processor
-// time, so its frames go out late and are read late; it takes that for a queue
-// in the link.
+// Guards against a small entry under load that sends payloads at a twentieth of
+// its link's capacity, and serves still less: it is short of processor time, so
+// it sends and reads frames late, and it takes the delay for a queue in the
+// link.
 TEST_CASE_METHOD(uplink_on_thin_link, "process_late_no_bound_is_set") {
   Begin({});
   Play(Millis(2000), 50);
@@ -182,7 +185,7 @@
   }
 }
 
-TEST_CASE_METHOD(uplink_on_thin_link, "link_free_again_bound_goes") {
+TEST_CASE_METHOD(uplink_on_thin_link, "link_free_again_bound_is_lifted") {
   Begin({});
   Play(Millis(3000));
   REQUIRE(u.rate > 0);
@@ -200,7 +203,8 @@
   }
   entries_and_sidecars() : w(Options()) { w.Pass(Millis(3000)); }
 
-  // A configuration of some hundred kilobytes, as the store would tell it.
+  // Delivers a configuration of some hundred kilobytes to an entry, as the
+  // store would.
   void Change(int entry) {
     config_document document = w.entries[0].core->document;
     document.version = config_version{2};
@@ -228,7 +232,7 @@
 };
 
 TEST_CASE_METHOD(entries_and_sidecars,
-                 "config_changed_travels_once_to_each_sidecar") {
+                 "config_changed_is_sent_once_to_each_sidecar") {
   const uint64_t before = BytesOut();
   w.Pass(Millis(2000));
   const uint64_t idle = BytesOut() - before;
@@ -238,25 +242,25 @@
   for (const emulator::emulated_sidecar& sidecar : w.sidecars)
     REQUIRE(sidecar.core->config.version.value == 2);
   const uint64_t copies = w.sidecars.size();
-  // Packed, a copy takes at most a fifth of the text.
+  // Compressed, a copy takes at most a fifth of the text.
   REQUIRE(BytesOut() - before - 2 * idle < (copies + 1) * document_bytes / 5);
 }
 
-// What a user sees: refused as not found, seconds after the operator has added
-// the queue. Order: one entry is cut from the store; the others learn of the
-// change. It learns through the sidecars.
+// Guards against requests that are refused as not found seconds after the
+// operator has added their queue: one entry is cut from the store, the others
+// receive the change. It receives the change through the sidecars.
 TEST_CASE_METHOD(entries_and_sidecars,
-                 "entry_cut_from_store_learns_of_the_change_from_sidecars") {
+                 "entry_cut_from_store_receives_the_change_from_sidecars") {
   Change(0);
   Change(1);
   w.Pass(Millis(700));
   REQUIRE(w.entries[2].core->document.version.value == 2);
 }
 
-// What a user sees: after all entries have died with the store down, those that
-// start know an older configuration. Sidecars keep it.
+// Guards against an older configuration at entries that start after all entries
+// have crashed while the store is down. The sidecars keep the newest one.
 TEST_CASE_METHOD(entries_and_sidecars,
-                 "entries_all_restarted_have_the_change_from_sidecars") {
+                 "entries_all_restarted_receive_the_change_from_sidecars") {
   for (int i = 0; i < 3; ++i)
     Change(i);
   w.Pass(Millis(700));
--- a/tests/starts_wait_unit_test.cc
+++ b/tests/starts_wait_unit_test.cc
@@ -1,9 +1,9 @@
-// Starts that find no room on their worker.
+// Starts for which their worker has no free resources.
 //
 // Contents
 //   [1] Fixture
-//   [2] Waiting for room
-//   [3] What must not start any more
+//   [2] Waiting for resources
+//   [3] Starts that must not begin any more
 //   [4] Many entries
 
 #include <catch2/catch.hpp>
@@ -20,8 +20,8 @@
 
 // ---- [1] Fixture ------------------------------------------------------------
 
-// A worker of four tasks, all of whose room an owner's runs have: one of them
-// is expected to end soon.
+// A worker that fits four tasks and is full with four runs of one owner, of
+// which one is expected to end soon.
 struct full_worker {
   full_worker() : k(MakeLeaseManager(lease_manager_options{})) {
     leased_worker_announced e;
@@ -29,17 +29,17 @@
     e.info.capacity = {4000, 1000, 0};
     HandleLeaseManagerEvent(k, now, e);
     TickLeaseManager(k, now);
-    Look({}, {});
+    AnswerPoll({}, {});
     for (int i = 0; i < 4; ++i)
       Order(kOther, "runs-" + std::to_string(i), i == 0 ? 30 : 500);
     TickLeaseManager(k, now);
     k.actions.clear();
-    PassVouched(Millis(20));
+    PassRenewing(Millis(20));
   }
 
   static run_ref Ref(const std::string& job) { return {{job, 0, 0, 0}, 1}; }
 
-  void Vouch(incarnation owner) {
+  void RenewOwnerLease(incarnation owner) {
     lease_orders orders;
     orders.echo = now.value;
     HandleLeaseOrders(k, now, owner, orders);
@@ -54,15 +54,15 @@
         k, now, run_start_answered{Ref(job), {"life"}, worker_answer::ok});
   }
 
-  void PassVouched(micros time) {
+  void PassRenewing(micros time) {
     now = now + time;
-    Vouch(kOwner);
-    Vouch(kOther);
+    RenewOwnerLease(kOwner);
+    RenewOwnerLease(kOther);
     TickLeaseManager(k, now);
   }
 
-  void Look(const std::vector<run_ref>& running,
-            const std::vector<listed_end>& ended) {
+  void AnswerPoll(const std::vector<run_ref>& running,
+                  const std::vector<listed_end>& ended) {
     poll_answered e;
     e.number = k.open_poll;
     e.session = {"life"};
@@ -77,8 +77,8 @@
 
   // The first run ends.
   void EndOne() {
-    Look({Ref("runs-1"), Ref("runs-2"), Ref("runs-3")},
-         {{1, Ref("runs-0"), run_end_kind::done}});
+    AnswerPoll({Ref("runs-1"), Ref("runs-2"), Ref("runs-3")},
+               {{1, Ref("runs-0"), run_end_kind::done}});
   }
 
   int Starts() const {
@@ -88,12 +88,12 @@
         }));
   }
 
-  // As told to the owner; empty: nothing was.
-  std::vector<run_end_kind> Told() {
-    std::vector<run_end_kind> told;
+  // The ends reported to the owner since the last call.
+  std::vector<run_end_kind> ReportedEnds() {
+    std::vector<run_end_kind> reported;
     for (const run_end& end : ReportFor(k, now, kOwner).ends)
-      told.push_back(end.kind);
-    return told;
+      reported.push_back(end.kind);
+    return reported;
   }
 
   static constexpr incarnation kOwner{7};
@@ -104,47 +104,49 @@
 
 const std::vector<run_end_kind> kRefused = {run_end_kind::never_started};
 
-// ---- [2] Waiting for room ---------------------------------------------------
+// ---- [2] Waiting for resources ----------------------------------------------
 
-TEST_CASE_METHOD(full_worker, "start_without_room_begins_when_a_run_ends") {
+TEST_CASE_METHOD(full_worker,
+                 "start_without_free_resources_begins_when_a_run_ends") {
   Order(kOwner, "new", 50);
   CHECK(Starts() == 0);
-  CHECK(Told().empty());
+  CHECK(ReportedEnds().empty());
   CHECK(ReportFor(k, now, kOwner).free.cpu < 0);
-  PassVouched(Millis(10));
+  PassRenewing(Millis(10));
   EndOne();
   CHECK(Starts() == 1);
-  CHECK(Told().empty());
+  CHECK(ReportedEnds().empty());
   CHECK(FreeResources(k).cpu == 0);
 }
 
-// What a user sees: with thin links a job takes twice as long. Order: starts
-// wait, nothing is told of them, and their owner learns late that its link is
-// full; its vouches stand in that queue, run out, and its runs are stopped.
-TEST_CASE_METHOD(full_worker, "start_waits_owner_hears_at_once") {
+// Guards against jobs that take twice as long over links of low capacity:
+// starts wait without a report, so their owner notices late that its link is
+// overloaded; the frames that renew its owner lease wait in that queue, the
+// lease expires, and its runs are stopped.
+TEST_CASE_METHOD(full_worker, "start_waits_owner_gets_a_report_at_once") {
   ReportFor(k, now, kOwner);
   REQUIRE_FALSE(k.owners[kOwner].report_pending);
   Order(kOwner, "new", 50);
   CHECK(k.owners[kOwner].report_pending);
 }
 
-// What a user sees: with thin links jobs are late though other workers are
-// free. Order: a start waits where nothing ends soon, is refused after that,
-// and its payload travels a second time.
+// Guards against jobs that are late over links of low capacity though other
+// workers are free: a start waits where no run ends soon, is refused after
+// that, and its payload is sent a second time.
 TEST_CASE_METHOD(full_worker, "start_where_nothing_ends_soon_refused_at_once") {
-  PassVouched(Millis(5));
+  PassRenewing(Millis(5));
   EndOne();
   Order(kOther, "long", 500);
   k.actions.clear();
   Order(kOwner, "new", 50);
-  CHECK(Told() == kRefused);
+  CHECK(ReportedEnds() == kRefused);
   CHECK(Starts() == 0);
 }
 
-TEST_CASE_METHOD(full_worker, "start_that_waited_its_time_is_refused") {
+TEST_CASE_METHOD(full_worker, "start_that_waited_too_long_is_refused") {
   Order(kOwner, "new", 50);
-  PassVouched(k.options.max_start_wait + micros{1});
-  CHECK(Told() == kRefused);
+  PassRenewing(k.options.max_start_wait + micros{1});
+  CHECK(ReportedEnds() == kRefused);
   EndOne();
   CHECK(Starts() == 0);
   CHECK(FreeResources(k).cpu == 1000);
@@ -153,24 +155,25 @@
 TEST_CASE_METHOD(full_worker, "starts_beyond_what_may_wait_refused_at_once") {
   Order(kOwner, "first", 50);
   Order(kOwner, "second", 50);
-  CHECK(Told() == kRefused);
+  CHECK(ReportedEnds() == kRefused);
 }
 
-// The start that came first gets the room; what the worker holds never exceeds
-// what it has.
-TEST_CASE_METHOD(full_worker, "room_freed_goes_to_the_start_that_waits") {
+// The start that came first gets the resources; the worker's runs never use
+// more than its capacity.
+TEST_CASE_METHOD(full_worker, "freed_resources_go_to_the_waiting_start") {
   Order(kOwner, "new", 50);
-  PassVouched(Millis(10));
+  PassRenewing(Millis(10));
   EndOne();
   Order(kOther, "later", 50);
   CHECK(Starts() == 1);
   CHECK((k.used - k.waiting_resources).cpu <= k.worker.capacity.cpu);
 }
 
-// What the worker's owner sees: more runs than its room holds. Order: a start
-// waits, the worker's room shrinks to less than what runs there, a run ends.
-// What runs still counts; the start begins once it fits what the room is now.
-TEST_CASE_METHOD(full_worker, "start_waits_room_shrinks_never_begins_over_it") {
+// Guards against runs that need more than the worker's capacity: a start waits,
+// the capacity shrinks below what the runs there use, and a run ends. The
+// remaining runs still count; the start begins once it fits the new capacity.
+TEST_CASE_METHOD(full_worker,
+                 "start_waits_capacity_shrinks_never_begins_beyond_it") {
   k.options.max_start_wait = Millis(5000);
   Order(kOwner, "new", 50);
   leased_worker_announced e;
@@ -187,26 +190,26 @@
   CHECK(Starts() == 1);
 }
 
-// ---- [3] What must not start any more ---------------------------------------
+// ---- [3] Starts that must not begin any more --------------------------------
 
-// What a user sees: a task that runs twice at a time. Order: a start waits
-// here, the path to its owner is cut, the owner counts it as over and starts
-// the task elsewhere; then room gets free.
+// Guards against two concurrent runs of a task: a start waits here, the path to
+// its owner is cut, the owner takes the run for over and starts the task
+// elsewhere; then resources become free.
 TEST_CASE_METHOD(full_worker, "start_waits_owner_falls_silent_never_begins") {
   k.options.max_start_wait = Millis(5000);
   Order(kOwner, "new", 50);
   const micros until = now + k.options.bounds.owner_lease + micros{1};
   while (now < until) {
     now = now + Millis(20);
-    Vouch(kOther);
+    RenewOwnerLease(kOther);
     TickLeaseManager(k, now);
   }
   EndOne();
   CHECK(Starts() == 0);
-  CHECK(Told() == kRefused);
+  CHECK(ReportedEnds() == kRefused);
 }
 
-// What a user sees: work goes on for a caller that has gone.
+// Guards against work that starts for a caller that has gone.
 TEST_CASE_METHOD(full_worker, "start_waits_owner_stops_it_never_begins") {
   Order(kOwner, "new", 50);
   lease_orders stop;
@@ -215,11 +218,11 @@
   HandleLeaseOrders(k, now, kOwner, stop);
   EndOne();
   CHECK(Starts() == 0);
-  CHECK(Told() == kRefused);
+  CHECK(ReportedEnds() == kRefused);
 }
 
-// What a user sees: a task that runs twice at a time. Order: the stream breaks
-// with a start that waits here; the owner's next stream doesn't name it.
+// Guards against two concurrent runs of a task: the stream breaks while a start
+// waits here, and the owner's next stream doesn't list its run.
 TEST_CASE_METHOD(full_worker,
                  "start_waits_new_stream_without_it_never_begins") {
   Order(kOwner, "new", 50);
@@ -231,10 +234,11 @@
   CHECK(Starts() == 0);
 }
 
-TEST_CASE_METHOD(full_worker, "start_waits_worker_lost_told_as_not_started") {
+TEST_CASE_METHOD(full_worker,
+                 "start_waits_worker_lost_reported_as_not_started") {
   Order(kOwner, "new", 50);
   HandleLeaseManagerEvent(k, now, leased_worker_deregistered{{"life"}});
-  CHECK(Told() == kRefused);
+  CHECK(ReportedEnds() == kRefused);
   CHECK(k.waiting_starts.empty());
   CHECK(k.waiting_resources == resources{});
 }
@@ -248,7 +252,7 @@
   HandleLeaseManagerEvent(k, now, e);
   EndOne();
   CHECK(Starts() == 0);
-  CHECK(Told() == kRefused);
+  CHECK(ReportedEnds() == kRefused);
 }
 
 // ---- [4] Many entries -------------------------------------------------------
@@ -270,12 +274,13 @@
   }
 };
 
-// What a user sees: in a burst the short requests are late or refused, where
-// entries are small, beside workers that are not full. Order: entries place by
-// news that is some milliseconds old, on the same workers; as many starts are
-// refused as begin; each costs the entry two frames, and it acts late. Wanted:
-// at most one start refused for two that begin. Before and after: 0.97 and 0.39
-// refused a start, 0.917 and 0.957 of the value served.
+// Guards against short requests that are late or refused in a burst, on small
+// entries, while workers have free resources: entries place runs by reports
+// that are some milliseconds old, on the same workers; as many starts are
+// refused as begin; each refusal costs the entry two frames, and it acts late.
+// At most one start may be refused for two that begin. Without starts that wait
+// there are 0.97 refusals a start and 0.917 of the value is served, with them
+// 0.39 and 0.957.
 TEST_CASE_METHOD(many_small_entries,
                  "entries_many_full_load_few_starts_refused") {
   for (uint64_t seed = 1; seed <= 2; ++seed) {
--- a/tests/stops_unanswered_unit_test.cc
+++ b/tests/stops_unanswered_unit_test.cc
@@ -1,4 +1,4 @@
-// A sidecar whose orders to stop its worker doesn't carry out.
+// Stops that the worker doesn't carry out.
 
 #include <catch2/catch.hpp>
 #include <vector>
@@ -8,7 +8,7 @@
 namespace cassiaferry::emulator {
 namespace {
 
-// A run whose owner has said its last word, on a worker that answers looks.
+// A run whose owner sends nothing any more, on a worker that answers polls.
 struct manager_of_a_silent_owner : manager_of_one_owner {
   manager_of_a_silent_owner() {
     lease_orders orders;
@@ -19,8 +19,8 @@
         k, now, run_start_answered{the_run, {"life"}, worker_answer::ok});
   }
 
-  // Each order to stop gets this answer; the run is listed until one is taken.
-  void Pass(micros time, worker_answer to_stops) {
+  // Each stop gets this answer; the run is listed until a stop is carried out.
+  void Pass(micros time, worker_answer stop_answer) {
     constexpr micros kStep = Millis(20);
     for (const micros until = now + time; now < until;) {
       k.actions.clear();
@@ -28,9 +28,9 @@
       AnswerPoll(stopped ? std::vector<run_ref>{}
                          : std::vector<run_ref>{the_run});
       for (size_t i = Calls<call_run_stop>().size(); i > 0; --i)
-        HandleLeaseManagerEvent(k, now,
-                                run_stop_answered{the_run, {"life"}, to_stops});
-      stopped = stopped || (to_stops == worker_answer::ok &&
+        HandleLeaseManagerEvent(
+            k, now, run_stop_answered{the_run, {"life"}, stop_answer});
+      stopped = stopped || (stop_answer == worker_answer::ok &&
                             !Calls<call_run_stop>().empty());
     }
   }
@@ -40,8 +40,8 @@
   bool stopped = false;
 };
 
-// Guards against a run that nobody vouches for and whose stop isn't carried
-// out: each look gives its worker a longer lease.
+// Guards against polls that keep extending the worker's lease while a run has
+// no owner lease any more and its stop isn't carried out.
 TEST_CASE_METHOD(manager_of_a_silent_owner,
                  "stop_not_carried_out_lease_ends_in_time") {
   const auto answer = GENERATE(worker_answer::none, worker_answer::unavailable);
@@ -49,7 +49,8 @@
   CHECK(ToMillis(k.leases_end_at) <= over_ms);
 }
 
-TEST_CASE_METHOD(manager_of_a_silent_owner, "stop_taken_lease_ends_in_time") {
+TEST_CASE_METHOD(manager_of_a_silent_owner,
+                 "stop_carried_out_lease_ends_in_time") {
   Pass(Millis(3000), worker_answer::ok);
   CHECK(stopped);
   CHECK(ToMillis(k.leases_end_at) <= over_ms);
--- a/tests/worker_sessions_unit_test.cc
+++ b/tests/worker_sessions_unit_test.cc
@@ -1,9 +1,9 @@
-// Lives of one worker: it starts again, under a new id or the one that it had.
+// Sessions of one worker that starts again, under a new id or the same one.
 //
 // Contents
 //   [1] Fixture
-//   [2] Under its id
-//   [3] What a sidecar believes
+//   [2] Restarts under the same id
+//   [3] The lease manager's view of sessions
 //   [4] Seeded runs
 
 #include <algorithm>
@@ -17,7 +17,7 @@
 
 // ---- [1] Fixture ------------------------------------------------------------
 
-// Workers that start again under their ids, and that have run tasks before.
+// Workers that keep their ids when they start again, and that have run tasks.
 struct workers_keep_ids {
   static world_options Options() {
     world_options options;
@@ -38,10 +38,10 @@
       w.Submit(MakeJob("job-" + std::to_string(next++), kTasks, 500, 50));
   }
 
-  void RestartAll(micros down_for) {
+  void RestartAll(micros downtime) {
     for (int i = 0; i < w.options.workers; ++i)
-      w.CrashWorker(i, down_for);
-    w.Pass(down_for + Millis(2000));
+      w.CrashWorker(i, downtime);
+    w.Pass(downtime + Millis(2000));
   }
 
   uint64_t Starts() const {
@@ -58,17 +58,15 @@
   int next = 0;
 };
 
-// ---- [2] Under its id -------------------------------------------------------
+// ---- [2] Restarts under the same id -----------------------------------------
 
-// What a user sees: answers that come seconds late, or not at all, long after
-// workers came back. Order: a worker that has run some tasks starts again under
-// its id, and numbers the ends of tasks from 1 again; each task that it has
-// done is run once more, there or elsewhere. Cause: what the sidecar knew of
-// the life before was held against the new one, and its ends passed for known
-// ones. Evidence: runs counted as lost on restarted workers alone, and only
-// since.
+// Guards against answers that are seconds late, or missing, long after workers
+// have restarted: a worker that has run tasks starts again under its id and
+// numbers its ends from 1 again. If the sidecar applies the numbers of the
+// previous session to the new one, it takes the ends for known ones, counts
+// done runs as lost, and each task runs once more, there or elsewhere.
 TEST_CASE_METHOD(workers_keep_ids,
-                 "worker_again_under_its_id_done_tasks_run_once") {
+                 "worker_restarted_under_its_id_done_tasks_run_once") {
   RestartAll(Millis(600));
   const uint64_t before = Starts();
   SubmitMany(20);
@@ -78,14 +76,13 @@
   RequireNothingBroken();
 }
 
-// What a user sees: a request fails with the worker that it was sent to, which
-// had said that it leaves. Order: the worker starts again under its id, numbers
-// its announcements from 1 again, and says that it leaves; two seconds after
-// that was heard tasks are still started there. Cause: as above, its leaving
-// passed for an announcement of before. Evidence: the sidecar acknowledged the
-// leaving, and logged none.
+// Guards against a request that fails with a worker that had announced that it
+// drains: the worker starts again under its id, numbers its announcements from
+// 1 again, and announces that it drains. If the sidecar applies the numbers of
+// the previous session, it ignores that announcement as an old one, and still
+// starts tasks there two seconds later.
 TEST_CASE_METHOD(workers_keep_ids,
-                 "worker_again_under_its_id_that_leaves_gets_no_starts") {
+                 "worker_restarted_under_its_id_draining_gets_no_starts") {
   RestartAll(Millis(600));
   w.DrainWorker(0);
   w.Pass(Millis(1100));
@@ -98,34 +95,34 @@
   RequireNothingBroken();
 }
 
-// ---- [3] What a sidecar believes --------------------------------------------
+// ---- [3] The lease manager's view of sessions -------------------------------
 
-// A keeper whose worker has listed twelve ends and runs one task more.
+// A lease manager whose worker has listed twelve ends and runs one more task.
 struct manager_of_a_restarting_worker {
   manager_of_a_restarting_worker()
       : k(MakeLeaseManager(lease_manager_options{})) {
-    Announce(first, 9);
-    Answer(first, {});
+    Announce(first_session, 9);
+    Answer(first_session, {});
     lease_orders orders;
     orders.echo = now.value;
     orders.starts.push_back({the_run, {1000, 10, 0}, 100, "", true});
     HandleLeaseOrders(k, now, kOwner, orders);
     HandleLeaseManagerEvent(
-        k, now, run_start_answered{the_run, first, worker_answer::ok});
-    poll_answered look = Look(first, {the_run});
-    look.ended.push_back({12, {{"earlier", 0, 0, 0}, 1}, run_end_kind::done});
-    HandleLeaseManagerEvent(k, now, look);
+        k, now, run_start_answered{the_run, first_session, worker_answer::ok});
+    poll_answered poll = PollAnswer(first_session, {the_run});
+    poll.ended.push_back({12, {{"earlier", 0, 0, 0}, 1}, run_end_kind::done});
+    HandleLeaseManagerEvent(k, now, poll);
     Tick();
     REQUIRE(k.seen == 12);
     REQUIRE(AcceptsLeasedWork(k, now));
     k.actions.clear();
   }
 
-  void Announce(const worker_session& life,
+  void Announce(const worker_session& session,
                 uint64_t number,
                 bool draining = false) {
     leased_worker_announced e;
-    e.info.session = life;
+    e.info.session = session;
     e.info.capacity = {16'000, 1000, 0};
     e.sequence = number;
     e.draining = draining;
@@ -133,22 +130,23 @@
     Tick();
   }
 
-  // By `life`, to the life that was called.
-  poll_answered Look(const worker_session& life,
-                     const std::vector<run_ref>& running) const {
+  // An answer of `session` to a call to the current session.
+  poll_answered PollAnswer(const worker_session& session,
+                           const std::vector<run_ref>& running) const {
     poll_answered e;
     e.number = k.open_poll;
     e.session = k.worker.session;
     e.answer = worker_answer::ok;
-    e.started_ms = life.started_ms;
+    e.started_ms = session.started_ms;
     e.clock_ms = ToMillis(now);
     for (const run_ref& ref : running)
       e.running.push_back({ref, 50});
     return e;
   }
 
-  void Answer(const worker_session& life, const std::vector<run_ref>& running) {
-    HandleLeaseManagerEvent(k, now, Look(life, running));
+  void Answer(const worker_session& session,
+              const std::vector<run_ref>& running) {
+    HandleLeaseManagerEvent(k, now, PollAnswer(session, running));
     Tick();
   }
 
@@ -161,13 +159,13 @@
 
   void Tick(micros time = micros{0}) {
     now = now + time;
-    lease_orders orders;  // the owner vouches on
+    lease_orders orders;  // renews the owner lease
     orders.echo = now.value;
     HandleLeaseOrders(k, now, kOwner, orders);
     TickLeaseManager(k, now);
   }
 
-  std::vector<run_end> Told() { return ReportFor(k, now, kOwner).ends; }
+  std::vector<run_end> ReportedEnds() { return ReportFor(k, now, kOwner).ends; }
 
   template <typename Call>
   std::vector<Call> Calls() const {
@@ -180,163 +178,166 @@
   }
 
   static constexpr incarnation kOwner{7};
-  const worker_session first{"worker", 1'000'000};
-  const worker_session again{"worker", 1'005'000};
+  const worker_session first_session{"worker", 1'000'000};
+  const worker_session restarted_session{"worker", 1'005'000};
   const run_ref the_run{{"job", 0, 0, 0}, 1};
   micros now = Millis(1000);
   lease_manager_state k;
 };
 
-// What a user sees: a task that runs twice at a time. Order: a worker starts
-// again under its id, unnoticed; a start is carried out by the new life; then
-// its announcement comes. If the run counted as lost with the life before, its
-// task would start elsewhere at once.
-TEST_CASE_METHOD(manager_of_a_restarting_worker,
-                 "worker_again_runs_are_stopped_before_they_count_as_lost") {
-  Announce(again, 1);
+// Guards against two concurrent runs of a task: a worker starts again under its
+// id, unnoticed; the new session carries out a start; then its announcement
+// arrives. If the run counted as lost with the previous session, its task would
+// start elsewhere at once.
+TEST_CASE_METHOD(
+    manager_of_a_restarting_worker,
+    "worker_restarted_runs_are_stopped_before_they_count_as_lost") {
+  Announce(restarted_session, 1);
   REQUIRE(Calls<call_run_stop>().size() == 1);
-  REQUIRE(Calls<call_run_stop>()[0].session == again);
+  REQUIRE(Calls<call_run_stop>()[0].session == restarted_session);
   REQUIRE(Calls<call_run_stop>()[0].ref == the_run);
-  Answer(again, {the_run});
-  REQUIRE(Told().empty());
+  Answer(restarted_session, {the_run});
+  REQUIRE(ReportedEnds().empty());
   AnswerStop();
-  Answer(again, {the_run});  // sent before the stop was answered
-  REQUIRE(Told().empty());
-  Answer(again, {});
-  const std::vector<run_end> told = Told();
-  REQUIRE(told.size() == 1);
-  REQUIRE(told[0].kind == run_end_kind::lost);
+  Answer(restarted_session, {the_run});  // sent before the stop was answered
+  REQUIRE(ReportedEnds().empty());
+  Answer(restarted_session, {});
+  const std::vector<run_end> reported = ReportedEnds();
+  REQUIRE(reported.size() == 1);
+  REQUIRE(reported[0].kind == run_end_kind::lost);
   REQUIRE(AcceptsLeasedWork(k, now));
 }
 
-// What a user sees: a task that runs twice at a time. Order: the stop of a run
-// was answered by the life before; the start under way reaches the new life.
+// Guards against two concurrent runs of a task: the previous session answered
+// the stop of a run, and the delayed start reaches the new session.
 TEST_CASE_METHOD(manager_of_a_restarting_worker,
-                 "worker_again_a_run_being_stopped_is_stopped_once_more") {
+                 "worker_restarted_run_being_stopped_is_stopped_again") {
   lease_orders orders;
   orders.echo = now.value;
   orders.stops.push_back(the_run);
   HandleLeaseOrders(k, now, kOwner, orders);
   AnswerStop();
   k.actions.clear();
-  Announce(again, 1);
+  Announce(restarted_session, 1);
   REQUIRE(Calls<call_run_stop>().size() == 1);
-  Answer(again, {});
-  REQUIRE(Told().empty());
+  Answer(restarted_session, {});
+  REQUIRE(ReportedEnds().empty());
 }
 
-// Guards against a list of before a run began, on which it isn't, that passes
-// for a newer one: the run would count as over while it goes on.
+// Guards against a late answer to a poll that was sent before a run began and
+// doesn't list it: the run would count as over while it is in progress.
 TEST_CASE_METHOD(manager_of_a_restarting_worker,
-                 "look_given_up_answered_late_ends_no_run_that_began_since") {
-  const poll_answered late = Look(first, {});
-  Announce(again, 1);
-  Answer(first, {the_run});  // it was no new life
-  Answer(first, {the_run});
+                 "poll_given_up_answered_late_ends_no_run_that_began_since") {
+  const poll_answered late_answer = PollAnswer(first_session, {});
+  Announce(restarted_session, 1);
+  Answer(first_session, {the_run});  // it was not a new session
+  Answer(first_session, {the_run});
   AnswerStop();
-  Answer(first, {the_run});
-  HandleLeaseManagerEvent(k, now, late);
-  REQUIRE(Told().empty());
-  Answer(first, {});
-  REQUIRE(Told().size() == 1);
+  Answer(first_session, {the_run});
+  HandleLeaseManagerEvent(k, now, late_answer);
+  REQUIRE(ReportedEnds().empty());
+  Answer(first_session, {});
+  REQUIRE(ReportedEnds().size() == 1);
 }
 
-// What a user sees: a task that runs twice at a time, or room that is exceeded.
-// Order: orders to the life before are still under way when the new one starts;
-// the fence of the first call to it keeps them out.
+// Guards against two concurrent runs of a task, and against an overloaded
+// worker: calls to the previous session are still in transit when the new one
+// starts. The fence of the first call to the new session makes it refuse them.
 TEST_CASE_METHOD(manager_of_a_restarting_worker,
-                 "worker_again_fence_is_above_earlier_ones") {
+                 "worker_restarted_fence_is_above_earlier_ones") {
   const uint64_t before = k.fence;
-  Announce(again, 1);
+  Announce(restarted_session, 1);
   REQUIRE(Calls<call_run_stop>()[0].fence > before);
   REQUIRE(Calls<call_poll>().back().fence > before);
-  REQUIRE(Calls<call_poll>().back().session == again);
+  REQUIRE(Calls<call_poll>().back().session == restarted_session);
 }
 
-// What a user sees: a task that is done runs again. Order: a look gets no
-// answer, as the worker is gone; the next one is the first that the new life
-// has, and may not acknowledge its ends by the numbers of the life before.
+// Guards against a task that is done and runs again: a poll gets no answer, as
+// the worker is gone, and the next one is the first that the new session
+// receives. It must not acknowledge ends by the numbers of the previous one.
 TEST_CASE_METHOD(manager_of_a_restarting_worker,
-                 "look_unanswered_the_next_acknowledges_nothing") {
-  poll_answered none = Look(first, {});
+                 "poll_unanswered_next_one_acknowledges_nothing") {
+  poll_answered none = PollAnswer(first_session, {});
   none.answer = worker_answer::none;
   HandleLeaseManagerEvent(k, now, none);
   k.actions.clear();
   Tick(Millis(100));
   REQUIRE(Calls<call_poll>().size() == 1);
   REQUIRE(Calls<call_poll>()[0].acked_through == 0);
-  Answer(first, {the_run});
+  Answer(first_session, {the_run});
   REQUIRE(Calls<call_poll>().back().acked_through == 12);
 }
 
-// What a user sees: a worker over its room. Order: the worker starts again
-// under its id as a smaller one, and answers a look before it announces itself.
-// Until it does nothing starts there; what was ordered before is stopped.
-TEST_CASE_METHOD(manager_of_a_restarting_worker,
-                 "worker_again_known_by_its_answer_waits_for_what_it_is") {
-  Answer(again, {});
-  REQUIRE(k.worker.session == again);
+// Guards against an overloaded worker: it starts again under its id with less
+// capacity, and answers a poll before it announces itself. Until it does,
+// nothing starts there; runs ordered before are stopped.
+TEST_CASE_METHOD(
+    manager_of_a_restarting_worker,
+    "worker_restarted_known_by_its_answer_waits_for_announcement") {
+  Answer(restarted_session, {});
+  REQUIRE(k.worker.session == restarted_session);
   REQUIRE(Calls<call_run_stop>().size() == 1);
   AnswerStop();
-  Answer(again, {});
-  Answer(again, {});
-  REQUIRE(Told().size() == 1);
+  Answer(restarted_session, {});
+  Answer(restarted_session, {});
+  REQUIRE(ReportedEnds().size() == 1);
   REQUIRE_FALSE(AcceptsLeasedWork(k, now));
   REQUIRE_FALSE(ReportFor(k, now, kOwner).worker.has_value());
-  Announce(again, 1);
+  Announce(restarted_session, 1);
   REQUIRE(AcceptsLeasedWork(k, now));
   REQUIRE(ReportFor(k, now, kOwner).worker.has_value());
 }
 
-// What a user sees: requests sent to a worker that has said it leaves. Order:
-// an announcement of the life before was held up, with a higher number, and
-// comes after that of the new one, and after its leaving.
+// Guards against requests that are sent to a worker that drains: a delayed
+// announcement of the previous session, with a higher number, arrives after the
+// new session has announced itself, and that it drains.
 TEST_CASE_METHOD(manager_of_a_restarting_worker,
-                 "announcement_of_an_earlier_start_is_passed_over") {
-  Announce(again, 1);
-  Announce(again, 2, true);
-  Announce(first, 10);
-  REQUIRE(k.worker.session == again);
+                 "announcement_of_an_earlier_start_is_ignored") {
+  Announce(restarted_session, 1);
+  Announce(restarted_session, 2, true);
+  Announce(first_session, 10);
+  REQUIRE(k.worker.session == restarted_session);
   REQUIRE(k.draining);
 }
 
-// Order: the sidecar is new, and has met the worker's newest life only; an
-// announcement of an earlier one, under another id, was held up until now.
+// The sidecar has just started and knows only the worker's newest session; a
+// delayed announcement of an earlier one, under another id, arrives.
 TEST_CASE_METHOD(manager_of_a_restarting_worker,
-                 "announcement_of_a_life_never_met_is_passed_over") {
-  Announce({"earlier", first.started_ms - 1}, 40);
-  REQUIRE(k.worker.session == first);
+                 "announcement_of_an_unknown_earlier_session_is_ignored") {
+  Announce({"earlier", first_session.started_ms - 1}, 40);
+  REQUIRE(k.worker.session == first_session);
   REQUIRE(AcceptsLeasedWork(k, now));
 }
 
-// What a user sees: a worker that is back, and never gets work again. Order: it
-// said goodbye, and starts again under its id.
+// Guards against a restarted worker that never gets work again: it deregistered
+// and starts again under its id.
 TEST_CASE_METHOD(manager_of_a_restarting_worker,
-                 "worker_left_and_again_under_its_id_takes_work") {
-  HandleLeaseManagerEvent(k, now, leased_worker_deregistered{first});
+                 "worker_deregistered_and_restarted_accepts_work") {
+  HandleLeaseManagerEvent(k, now, leased_worker_deregistered{first_session});
   REQUIRE_FALSE(AcceptsLeasedWork(k, now));
-  Announce(again, 1);
-  Answer(again, {});
+  Announce(restarted_session, 1);
+  Answer(restarted_session, {});
   REQUIRE(AcceptsLeasedWork(k, now));
 }
 
-// Order: the goodbye of the life before was held up.
+// A delayed deregistration of the previous session arrives.
 TEST_CASE_METHOD(manager_of_a_restarting_worker,
-                 "goodbye_of_an_earlier_start_ends_nothing") {
-  Announce(again, 1);
-  Answer(again, {the_run});
-  HandleLeaseManagerEvent(k, now, leased_worker_deregistered{first});
+                 "deregistration_of_an_earlier_start_ends_nothing") {
+  Announce(restarted_session, 1);
+  Answer(restarted_session, {the_run});
+  HandleLeaseManagerEvent(k, now, leased_worker_deregistered{first_session});
   REQUIRE(k.has_worker);
-  REQUIRE(Told().empty());
+  REQUIRE(ReportedEnds().empty());
 }
 
-// Order: the worker's clock went back between its two starts. Its announcement
-// looks like an earlier one's; its answer to a look tells that it is not.
-TEST_CASE_METHOD(manager_of_a_restarting_worker,
-                 "worker_again_with_its_clock_back_is_known_by_its_answer") {
-  const worker_session back{"worker", first.started_ms - 3'600'000};
+// The worker's clock went back between its two starts. Its announcement seems
+// to be of an earlier session; its answer to a poll shows that it is not.
+TEST_CASE_METHOD(
+    manager_of_a_restarting_worker,
+    "worker_restarted_with_its_clock_back_is_known_by_its_answer") {
+  const worker_session back{"worker", first_session.started_ms - 3'600'000};
   Announce(back, 1);
-  REQUIRE(k.worker.session == first);
+  REQUIRE(k.worker.session == first_session);
   Answer(back, {});
   AnswerStop();
   Announce(back, 2);
@@ -345,50 +346,50 @@
   REQUIRE(AcceptsLeasedWork(k, now));
 }
 
-// What a user sees: a worker that never gets work again. Order: the worker's
-// clock was ahead at an earlier start, whose announcement was held up; it looks
-// newer than the one of now, until an answer tells that it is not.
+// Guards against a worker that never gets work again: its clock was ahead at an
+// earlier start, whose announcement was delayed. That session seems newer than
+// the current one until an answer shows that it is not.
 TEST_CASE_METHOD(manager_of_a_restarting_worker,
-                 "announcement_of_a_start_that_looks_newer_is_taken_back") {
-  Announce(again, 40);
-  Answer(first, {});
-  REQUIRE(k.worker.session == first);
+                 "announcement_of_a_seemingly_newer_start_is_reverted") {
+  Announce(restarted_session, 40);
+  Answer(first_session, {});
+  REQUIRE(k.worker.session == first_session);
   AnswerStop();
-  Announce(first, 10);
-  Answer(first, {});
-  Answer(first, {});
+  Announce(first_session, 10);
+  Answer(first_session, {});
+  Answer(first_session, {});
   REQUIRE(AcceptsLeasedWork(k, now));
 }
 
-// What a user sees: a task that runs twice at a time. Order: the worker is
-// silent for so long that its runs count as lost; it starts again under its id,
-// and orders of before are still under way. The first look keeps them out.
+// Guards against two concurrent runs of a task: the worker is silent for so
+// long that its runs count as lost; it starts again under its id while earlier
+// calls are still in transit. The fence of the first poll makes it refuse them.
 TEST_CASE_METHOD(manager_of_a_restarting_worker,
-                 "worker_silent_its_runs_lost_fence_is_above_their_orders") {
+                 "worker_silent_runs_lost_fence_is_above_their_calls") {
   const uint64_t before = k.fence;
   for (int i = 0; i < 20; ++i) {
-    poll_answered none = Look(first, {});
+    poll_answered none = PollAnswer(first_session, {});
     none.answer = worker_answer::none;
     HandleLeaseManagerEvent(k, now, none);
     Tick(Millis(100));
   }
-  REQUIRE(Told().size() == 1);
+  REQUIRE(ReportedEnds().size() == 1);
   REQUIRE(Calls<call_poll>().back().fence > before);
 }
 
-// What a user sees: a task that runs twice at a time. Order: an end came too
-// late, and the lease must lapse; a start sent by the clock of the life before
-// has given the new one the longest lease there is.
+// Guards against two concurrent runs of a task: an end arrived too late, so the
+// lease must expire, and a start that was sent by the clock of the previous
+// session has given the new one the longest lease that a worker accepts.
 TEST_CASE_METHOD(manager_of_a_restarting_worker,
-                 "worker_again_leases_may_be_the_longest_there_are") {
-  Announce(again, 1);
+                 "worker_restarted_leases_may_be_the_longest_allowed") {
+  Announce(restarted_session, 1);
   REQUIRE(k.leases_end_at >=
           now + ElapsedByAnyClock(k.options.bounds.max_lease));
 }
 
 // ---- [4] Seeded runs --------------------------------------------------------
 
-TEST_CASE("workers_keep_ids_seeded_faults_nothing_broken") {
+TEST_CASE("workers_keep_ids_seeded_faults_no_violation") {
   for (uint64_t seed = 1; seed <= 40; ++seed) {
     const day_report day = PlaySeededDay({seed, seed % 2 == 0, true});
     INFO("seed " << seed << "; cassiaferry-emulate --workers_keep_ids"
