--- a/src/core/lease_manager.cc
+++ b/src/core/lease_manager.cc
@@ -132,16 +132,16 @@
          now - run.since <= m.options.max_start_wait;
 }
 
-bool IsKeptForAnother(const lease_manager_state& m,
-                      micros now,
-                      incarnation owner) {
+bool IsReservedForAnother(const lease_manager_state& m,
+                          micros now,
+                          incarnation owner) {
   return now < m.granted_until && owner != m.grantee;
 }
 
 bool CanAllocate(const lease_manager_state& m,
                  micros now,
                  const managed_run& run) {
-  return !IsKeptForAnother(m, now, run.owner) &&
+  return !IsReservedForAnother(m, now, run.owner) &&
          Fits(run.start.need, FreeResources(m) + m.waiting_resources);
 }
 
@@ -260,11 +260,11 @@
 void StartRefused(lease_manager_state& m,
                   micros now,
                   managed_run& run,
-                  run_end_kind how) {
+                  run_end_kind kind) {
   if (run.start_attempts > 1)
     StopRun(m, now, run);
   else
-    EndRun(m, now, leased_task(run.start.ref.task), how);
+    EndRun(m, now, leased_task(run.start.ref.task), kind);
 }
 
 void RecordUnansweredCall(lease_manager_state& m, micros now) {
@@ -694,7 +694,7 @@
 resources FreeResourcesFor(const lease_manager_state& m,
                            micros now,
                            incarnation owner) {
-  return IsKeptForAnother(m, now, owner) ? resources{} : FreeResources(m);
+  return IsReservedForAnother(m, now, owner) ? resources{} : FreeResources(m);
 }
 
 // ---- [5] Reports ------------------------------------------------------------
--- a/src/core/lease_manager_ends.cc
+++ b/src/core/lease_manager_ends.cc
@@ -28,8 +28,8 @@
 bool IsUrgent(const lease_manager_state& m,
               incarnation owner,
               const run_ref& ref,
-              run_end_kind how) {
-  if (how != run_end_kind::done)
+              run_end_kind kind) {
+  if (kind != run_end_kind::done)
     return true;
   leased_task first = ref.task;
   first.index = 0;
@@ -49,17 +49,17 @@
 void ReportEnd(lease_manager_state& m,
                incarnation owner_name,
                const run_ref& ref,
-               run_end_kind how,
+               run_end_kind kind,
                uint32_t run_ms,
                uint64_t listed) {
   const auto it = m.owners.find(owner_name);
   if (it == m.owners.end())
     return;
   run_owner& owner = it->second;
-  ++m.runs_ended[static_cast<size_t>(how)];
-  owner.ends.push_back({{owner.next_end++, ref, how, run_ms}, listed});
+  ++m.runs_ended[static_cast<size_t>(kind)];
+  owner.ends.push_back({{owner.next_end++, ref, kind, run_ms}, listed});
   owner.report_pending =
-      owner.report_pending || IsUrgent(m, owner_name, ref, how);
+      owner.report_pending || IsUrgent(m, owner_name, ref, kind);
 }
 
 // ---- [2] Held ends ----------------------------------------------------------
@@ -90,10 +90,10 @@
 
 void LogEnd(lease_manager_state& m,
             const managed_run& run,
-            run_end_kind how,
+            run_end_kind kind,
             uint32_t run_ms) {
   LogChange(m, "run ended",
-            ToText(run.start.ref) + ", " + ToText(how) + ", after_ms " +
+            ToText(run.start.ref) + ", " + ToText(kind) + ", after_ms " +
                 std::to_string(run_ms) + ", owner " + ToHex(run.owner.value));
 }
 
@@ -103,7 +103,7 @@
 void EndRun(lease_manager_state& m,
             micros now,
             const leased_task& task,
-            run_end_kind how,
+            run_end_kind kind,
             uint64_t listed) {
   const auto it = m.runs.find(task);
   const managed_run run = std::move(it->second);
@@ -111,19 +111,19 @@
   m.used = m.used - run.start.need;
   if (WaitsForResources(run)) {
     m.waiting_resources = m.waiting_resources - run.start.need;
-    how = listed == 0 ? run_end_kind::never_started : how;
+    kind = listed == 0 ? run_end_kind::never_started : kind;
   }
   const auto run_ms = static_cast<uint32_t>(ToMillis(now - run.since));
-  LogEnd(m, run, how, run_ms);
+  LogEnd(m, run, kind, run_ms);
   if (run.start.durable && listed != 0)
-    HoldEnd(m, now, run.owner, {listed, run.start.ref, how}, run_ms);
-  ReportEnd(m, run.owner, run.start.ref, how, run_ms,
+    HoldEnd(m, now, run.owner, {listed, run.start.ref, kind}, run_ms);
+  ReportEnd(m, run.owner, run.start.ref, kind, run_ms,
             m.held_ends.count(listed) != 0 ? listed : 0);
 }
 
-void EndAll(lease_manager_state& m, micros now, run_end_kind how) {
+void EndAll(lease_manager_state& m, micros now, run_end_kind kind) {
   while (!m.runs.empty())
-    EndRun(m, now, leased_task(m.runs.begin()->first), how);
+    EndRun(m, now, leased_task(m.runs.begin()->first), kind);
   m.waiting_starts.clear();
 }
 
--- a/src/core/lease_manager_systems.h
+++ b/src/core/lease_manager_systems.h
@@ -76,7 +76,7 @@
 void ReportEnd(lease_manager_state& m,
                incarnation owner_name,
                const run_ref& ref,
-               run_end_kind how,
+               run_end_kind kind,
                uint32_t run_ms,
                uint64_t listed = 0);
 void HoldEnd(lease_manager_state& m,
@@ -91,9 +91,9 @@
 void EndRun(lease_manager_state& m,
             micros now,
             const leased_task& task,
-            run_end_kind how,
+            run_end_kind kind,
             uint64_t listed = 0);
-void EndAll(lease_manager_state& m, micros now, run_end_kind how);
+void EndAll(lease_manager_state& m, micros now, run_end_kind kind);
 bool HasEnd(const run_owner& owner, const run_ref& ref);
 void AckEnds(lease_manager_state& m, run_owner& owner, uint64_t through);
 void ResolveHeldEnd(lease_manager_state& m,
