--- a/tests/link_unit_test.cc
+++ b/tests/link_unit_test.cc
@@ -59,11 +59,11 @@
 // One stream over a link of 250 kB/s with a delay of 1 ms each way. In each
 // millisecond a frame with a payload is sent if the rate allows it; the peer
 // reports every 20 ms.
-struct uplink_on_thin_link {
+struct uplink_on_slow_link {
   static constexpr double kRate = 250'000;
   static constexpr size_t kBytes = 1300;
   static constexpr micros kStep = Millis(1);
-  static constexpr micros kWay = Millis(1);
+  static constexpr micros kOneWayDelay = Millis(1);
 
   void Begin(uplink_options options) { u = MakeUplink(options); }
 
@@ -71,7 +71,7 @@
     free_at = std::max(free_at, now) +
               micros{static_cast<int64_t>(kBytes / kRate * 1e6)};
     longest_wait = std::max(longest_wait, free_at - now);
-    under_way.push_back({now, free_at + kWay + own_wait});
+    in_transit.push_back({now, free_at + kOneWayDelay + own_wait});
     RecordSent(u, stream, now, kBytes);
     sent += kBytes;
   }
@@ -81,15 +81,15 @@
   }
 
   void Report() {
-    while (!under_way.empty() && under_way.front().arrives <= now) {
-      newest = under_way.front();
-      under_way.pop_front();
+    while (!in_transit.empty() && in_transit.front().arrives <= now) {
+      newest = in_transit.front();
+      in_transit.pop_front();
     }
     if (newest.sent.value == 0)
       return;
     const int64_t transit = PeerClock(newest.arrives) - newest.sent.value;
     const int64_t held = PeerClock(now) - PeerClock(newest.arrives);
-    RecordArrived(u, stream, now + kWay + way_back,
+    RecordArrived(u, stream, now + kOneWayDelay + return_delay,
                   {newest.sent, transit, held});
   }
 
@@ -113,16 +113,16 @@
   uplink_stream stream;
   micros now = Millis(1000);
   micros free_at{0};
-  micros way_back{0};  // queue on the way back
-  micros own_wait{0};  // of frames in this process, on each way
+  micros return_delay{0};  // queue on the way back
+  micros own_wait{0};      // of frames in this process, on each way
   micros longest_wait{0};
   double peer_speed = 1;
   size_t sent = 0;
-  std::deque<frame> under_way;
+  std::deque<frame> in_transit;
   frame newest;
 };
 
-TEST_CASE_METHOD(uplink_on_thin_link,
+TEST_CASE_METHOD(uplink_on_slow_link,
                  "rate_configured_no_queue_and_well_used") {
   uplink_options options;
   options.configured_rate = kRate;
@@ -135,7 +135,7 @@
 // Guards against an entry that serves nobody any more once it has sent more
 // than its link carries. The capacity isn't configured, so the entry has to
 // estimate it.
-TEST_CASE_METHOD(uplink_on_thin_link, "rate_unknown_queue_is_drained_in_time") {
+TEST_CASE_METHOD(uplink_on_slow_link, "rate_unknown_queue_is_drained_in_time") {
   Begin({});
   Play(Millis(2000));
   longest_wait = micros{0};
@@ -146,7 +146,7 @@
   REQUIRE(static_cast<double>(sent) > 0.7 * kRate * 10);
 }
 
-TEST_CASE_METHOD(uplink_on_thin_link, "load_small_no_bound_is_set") {
+TEST_CASE_METHOD(uplink_on_slow_link, "load_small_no_bound_is_set") {
   Begin({});
   Play(Millis(10'000), 20);
   REQUIRE(u.rate == 0);
@@ -154,10 +154,10 @@
 
 // Guards against callers that are refused while the outgoing link is idle:
 // their requests fill the incoming link, so reports of peers are late.
-TEST_CASE_METHOD(uplink_on_thin_link, "incoming_link_full_no_bound_is_set") {
+TEST_CASE_METHOD(uplink_on_slow_link, "incoming_link_full_no_bound_is_set") {
   Begin({});
   Play(Millis(2000), 20);
-  way_back = Millis(300);
+  return_delay = Millis(300);
   Play(Millis(5000), 20);
   REQUIRE(u.rate == 0);
 }
@@ -166,17 +166,17 @@
 // its link's capacity, and serves still less: it is short of processor time, so
 // it sends and reads frames late, and it takes the delay for a queue in the
 // link.
-TEST_CASE_METHOD(uplink_on_thin_link, "process_late_no_bound_is_set") {
+TEST_CASE_METHOD(uplink_on_slow_link, "process_late_no_bound_is_set") {
   Begin({});
   Play(Millis(2000), 50);
   own_wait = Millis(80);
-  way_back = own_wait;
+  return_delay = own_wait;
   Play(Millis(4000), 50);
   CHECK(u.rate == 0);
   CHECK(u.delay < Millis(10));
 }
 
-TEST_CASE_METHOD(uplink_on_thin_link, "clocks_differ_no_bound_is_set") {
+TEST_CASE_METHOD(uplink_on_slow_link, "clocks_differ_no_bound_is_set") {
   for (double speed : {0.99, 1.01}) {
     peer_speed = speed;
     Begin({});
@@ -185,7 +185,7 @@
   }
 }
 
-TEST_CASE_METHOD(uplink_on_thin_link, "link_free_again_bound_is_lifted") {
+TEST_CASE_METHOD(uplink_on_slow_link, "link_free_again_bound_is_lifted") {
   Begin({});
   Play(Millis(3000));
   REQUIRE(u.rate > 0);
--- a/tests/worker_sessions_unit_test.cc
+++ b/tests/worker_sessions_unit_test.cc
@@ -51,7 +51,7 @@
     return starts;
   }
 
-  void RequireNothingBroken() const { RequireNoneBroken(w.violations); }
+  void RequireNoViolation() const { RequireNoneBroken(w.violations); }
 
   static constexpr uint32_t kTasks = 4;
   world w;
@@ -73,7 +73,7 @@
   w.Pass(Millis(3000));
   REQUIRE(w.Count(job_fate::completed) == 80);
   REQUIRE(Starts() - before == 20 * kTasks);
-  RequireNothingBroken();
+  RequireNoViolation();
 }
 
 // Guards against a request that fails with a worker that had announced that it
@@ -92,7 +92,7 @@
     w.Pass(Millis(100));
   }
   REQUIRE(w.workers[0].starts == before);
-  RequireNothingBroken();
+  RequireNoViolation();
 }
 
 // ---- [3] The lease manager's view of sessions -------------------------------
