--- a/src/core/claims.cc
+++ b/src/core/claims.cc
@@ -3,10 +3,10 @@
 // Contents
 //   [1] Rows
 //   [2] Decisions
-//   [3] Another's row
-//   [4] Replies of the table
+//   [3] Other claims' rows
+//   [4] Replies of the table service
 //   [5] Replies of owners
-//   [6] Beginning and ending
+//   [6] Begin and end of a claim
 //   [7] Forming transactions
 
 #include "cassiaferry/claims.h"
@@ -71,7 +71,7 @@
     c.abandoned.pop_front();
 }
 
-// The job may start. From here on this entry says "running" of the nonce until
+// The job may start. From here on this entry reports the nonce as running until
 // the outcome is durably written.
 void Grant(claims_state& c, claim& k, uint64_t version) {
   k.version = version;
@@ -86,8 +86,9 @@
   c.decisions.push_back(std::move(d));
 }
 
-// The nonce will never start anything; an insert of it that still travels may
-// yet take effect, so it is remembered for whoever asks.
+// The nonce will never start a job. An insert of it that is still in flight may
+// take effect later, so the nonce is remembered as abandoned for other entries
+// that query it.
 void Deny(claims_state& c, uint64_t nonce, claim_decision d) {
   const auto it = c.claims.find(nonce);
   d.job = it->second.job;
@@ -112,7 +113,7 @@
   ++k.attempts;
 }
 
-// ---- [3] Another's row ------------------------------------------------------
+// ---- [3] Other claims' rows -------------------------------------------------
 
 void ResolveOwnerState(claims_state& c, uint64_t nonce, nonce_state state) {
   claim& k = c.claims.at(nonce);
@@ -129,8 +130,9 @@
   }
 }
 
-// Someone's claim stands in the table. Done: repeat its outcome. Running: say
-// so. Given up: take it over, but only on its owner's word.
+// The table holds a row for the key. If its job is done, its outcome is
+// repeated. If it is running, the claim is denied. If it was abandoned, the row
+// is taken over, but only once its owner has confirmed that.
 void HandleExistingRow(claims_state& c, uint64_t nonce, const table_row& row) {
   claim& k = c.claims.at(nonce);
   const std::optional<claim_row> other = ReadClaim(row.value);
@@ -158,7 +160,7 @@
     ResolveOwnerState(c, nonce, StateOfNonce(c, other->nonce));
 }
 
-// ---- [4] Replies of the table -----------------------------------------------
+// ---- [4] Replies of the table service ---------------------------------------
 
 void FinishWrite(claims_state& c, uint64_t nonce, const table_result& result) {
   const auto it = c.claims.find(nonce);
@@ -173,8 +175,9 @@
   c.claims.erase(it);
 }
 
-// Our version may be stale because an earlier write took effect and its reply
-// was lost: the row is then still ours, and a newer version of it is tried.
+// The known version may be stale because an earlier write took effect and its
+// reply was lost. The row then still belongs to this claim, and the write is
+// retried with the newer version.
 void RetryWrite(claims_state& c,
                 micros now,
                 uint64_t nonce,
@@ -258,9 +261,9 @@
 }
 
 // Failure guarded against: the reply to a claim is lost after the write took
-// effect. The row's nonce says whose it is. An absent row proves nothing, for
-// the write may still arrive: nothing was started, so the job is refused as
-// not_run, and the nonce is remembered as abandoned.
+// effect. The nonce in the row tells whose it is. An absent row proves nothing,
+// because the write may still arrive. No job was started, so the job is refused
+// as not_run, and the nonce is remembered as abandoned.
 void OnReadReply(claims_state& c, micros, const read_reply& reply) {
   const std::vector<uint64_t> nonces = CloseCall(c, reply.call);
   for (size_t i = 0; i < nonces.size(); ++i) {
@@ -294,7 +297,7 @@
                                                     : nonce_state::running;
 }
 
-// ---- [6] Beginning and ending -----------------------------------------------
+// ---- [6] Begin and end of a claim -------------------------------------------
 
 void BeginClaim(claims_state& c,
                 job_seq job,
@@ -330,8 +333,8 @@
   k.attempts = 0;
 }
 
-// The claim stays while a call with it is under way: its row may come to stand
-// in the table and must then be released.
+// The claim is kept while a call with it is in progress: its row may still be
+// written and must then be released.
 void AbandonClaim(claims_state& c, job_seq job) {
   const auto it = c.nonce_of_job.find(job);
   if (it == c.nonce_of_job.end())
@@ -380,7 +383,8 @@
   return call;
 }
 
-// Expired outcomes go many to a transaction, after the claims' own operations.
+// Adds deletions of expired outcomes, many to a transaction, after the
+// operations of claims.
 void AddSweeps(claims_state& c, int64_t wall_ms, std::vector<table_op>& ops) {
   while (!c.expiring_rows.empty() &&
          c.expiring_rows.front().expires_ms <= wall_ms &&
@@ -392,8 +396,8 @@
   }
 }
 
-// All that waits shares one write of the table service, which takes only
-// several hundred a second.
+// All waiting operations share one write of the table service, which handles
+// only several hundred writes a second.
 void OpenTransaction(claims_state& c, micros now, int64_t wall_ms) {
   if (c.transaction_open)
     return;
@@ -435,12 +439,12 @@
     if (k.in_call || k.phase != claim_phase::querying_owner)
       continue;
     const std::optional<claim_row> other = ReadClaim(k.seen.value);
-    owner_query ask;
-    ask.call = OpenCall(c, {nonce});
-    ask.owner = other->owner;
-    ask.owner_incarnation = other->owner_incarnation;
-    ask.nonce = other->nonce;
-    c.actions.push_back(std::move(ask));
+    owner_query query;
+    query.call = OpenCall(c, {nonce});
+    query.owner = other->owner;
+    query.owner_incarnation = other->owner_incarnation;
+    query.nonce = other->nonce;
+    c.actions.push_back(std::move(query));
   }
 }
 
--- a/tests/claims_unit_test.cc
+++ b/tests/claims_unit_test.cc
@@ -1,4 +1,5 @@
-// Claims of keyed jobs on virtual time: lost replies, take-over, release.
+// Unit tests of keyed jobs' claims, on virtual time: lost replies, takeover,
+// release.
 
 #include <catch2/catch.hpp>
 
@@ -11,9 +12,9 @@
 namespace {
 
 constexpr uint64_t kDigest = 9;
-constexpr int64_t kExpires = 500;  // wall clock; the tests' stands at 0
+constexpr int64_t kExpires = 500;  // wall clock, which stays at 0 in the tests
 
-// A table as the platform keeps it, and two owners with claims on it.
+// A table as the platform implements it, and two entries with claims in it.
 struct claims_fixture {
   claims_fixture() {
     a.self = incarnation{1};
@@ -42,7 +43,7 @@
     return results;
   }
 
-  // Carries out what the owner asks for, until it asks for nothing more.
+  // Carries out the actions of `c` until there are none left.
   void RunToCompletion(claims_state& c,
                        claims_state& other,
                        bool lose_reply = false) {
@@ -109,8 +110,8 @@
   CHECK(std::get<table_transaction>(a.actions[0]).ops.size() == 50);
 }
 
-// The platform writes the claim, and its reply is lost. Reading back shows the
-// claim's own nonce: the job may run.
+// The claim is written, and the reply is lost. Reading back finds the claim's
+// own nonce, so the job may run.
 TEST_CASE_METHOD(claims_fixture,
                  "Claim_WhenReplyIsLostAfterTheWrite_IsGranted") {
   BeginClaim(a, job_seq{1}, "k", 11, kDigest, kExpires);
@@ -119,7 +120,8 @@
   CHECK(a.decisions[0].granted);
 }
 
-// The platform is down for good: refused as not run, since nothing was started.
+// The platform stays down: the job is refused as not_run, because nothing was
+// started.
 TEST_CASE_METHOD(claims_fixture, "Claim_WhenPlatformIsDown_IsRefusedNotRun") {
   BeginClaim(a, job_seq{1}, "k", 11, kDigest, kExpires);
   TickClaims(a, micros{1}, 0);
@@ -135,7 +137,8 @@
   CHECK(StateOfNonce(a, 11) == nonce_state::abandoned);
 }
 
-// The rider sends the payment twice, to two entries; the first still runs.
+// A caller sends the same payment to two entries while the first job is still
+// running.
 TEST_CASE_METHOD(claims_fixture, "Claim_WhenAnotherRunsTheKey_IsInProgress") {
   BeginClaim(a, job_seq{1}, "k", 11, kDigest, kExpires);
   RunToCompletion(a, b);
@@ -169,7 +172,7 @@
   CHECK(b.decisions[0].run_verdict == verdict::not_run);
 }
 
-// The first job ended without running; its key must be free again.
+// The first job ended without running, so its key must be free again.
 TEST_CASE_METHOD(claims_fixture, "Key_WhenItsJobEndedNotRun_IsFreeAgain") {
   BeginClaim(a, job_seq{1}, "k", 11, kDigest, kExpires);
   RunToCompletion(a, b);
@@ -181,8 +184,8 @@
   CHECK(b.decisions[0].granted);
 }
 
-// As before, but the release never reached the platform. The row still names
-// the first owner, who says that it gave the claim up; it is taken over.
+// As above, but the release never reached the platform. The row still names the
+// first owner, which reports the claim as abandoned; the row is taken over.
 TEST_CASE_METHOD(claims_fixture, "Key_WhenItsReleaseIsLost_IsTakenOver") {
   BeginClaim(a, job_seq{1}, "k", 11, kDigest, kExpires);
   RunToCompletion(a, b);
@@ -194,7 +197,7 @@
   CHECK(ReadClaim(rows.at("k").value)->nonce == 22);
 }
 
-// The owner died with the job under way: nobody can say whether it ran.
+// The owner died while the job was running: whether it ran is unknown.
 TEST_CASE_METHOD(claims_fixture, "Claim_WhenTheOwnerIsGone_MayHaveRun") {
   BeginClaim(a, job_seq{1}, "k", 11, kDigest, kExpires);
   RunToCompletion(a, b);
@@ -206,8 +209,8 @@
   CHECK(b.decisions[0].run_verdict == verdict::may_have_run);
 }
 
-// An outcome's write takes effect but its reply is lost: the retry finds its
-// own row done and is content.
+// The write of an outcome takes effect but its reply is lost. The retry finds
+// its own row completed and succeeds.
 TEST_CASE_METHOD(claims_fixture, "Outcome_WhenItsReplyIsLost_IsWrittenOnce") {
   BeginClaim(a, job_seq{1}, "k", 11, kDigest, kExpires);
   RunToCompletion(a, b);
@@ -217,8 +220,8 @@
   CHECK(ReadClaim(rows.at("k").value)->outcome == "the answer");
 }
 
-// "Abandoned" must never be said of a claim that was let run, even while its
-// outcome waits for the platform.
+// A claim whose job was started must never be reported as abandoned, even while
+// its outcome waits to be written.
 TEST_CASE_METHOD(claims_fixture, "Nonce_WhenItsOutcomeIsNotWritten_IsRunning") {
   BeginClaim(a, job_seq{1}, "k", 11, kDigest, kExpires);
   RunToCompletion(a, b);
