--- a/include/cassiaferry/directory.h
+++ b/include/cassiaferry/directory.h
@@ -1,4 +1,4 @@
-// Rows in the store by which sidecars find entries.
+// Rows of the store's directory, in which sidecars look up the entries.
 
 #ifndef CASSIAFERRY_DIRECTORY_H_
 #define CASSIAFERRY_DIRECTORY_H_
@@ -10,10 +10,10 @@
 
 constexpr char kDirectoryTable[] = "entries";
 
-// `link`: where sidecars dial the entry, "ip:port".
+// `link`: the address at which sidecars connect to the entry, "ip:port".
 std::string WriteDirectoryRow(const std::string& link);
 
-// Nothing: the row names no address, whoever wrote it.
+// Returns nullopt if the row holds no valid address.
 std::optional<std::string> ReadDirectoryRow(const std::string& row);
 
 }  // namespace cassiaferry
--- a/include/cassiaferry/journal.h
+++ b/include/cassiaferry/journal.h
@@ -1,12 +1,13 @@
-// Journal of one entry: what must outlive it, written to the platform's store.
+// Journal of one entry: state that must survive the entry, written to the
+// platform's store.
 //
-// Operations that come while a transaction is open go together in the next one
-// (group commit). Every transaction expects the newest version of the entry's
-// own row and writes that row anew: the writes form a chain. Whoever takes the
-// entry's place changes the row first, and from then on no write of the old
-// chain applies, however late it arrives.
+// Operations that arrive while a transaction is open go together into the next
+// one (group commit). Every transaction expects the newest version of the
+// entry's own row and rewrites that row, so the writes form a chain. An entry
+// that takes over changes the row first; from then on no write of the old chain
+// applies, however late it arrives.
 //
-// Pure: no thread, clock or socket.
+// Pure logic: uses no thread, clock or socket.
 //
 // Contents
 //   [1] Options
@@ -31,29 +32,32 @@
 // ---- [1] Options ------------------------------------------------------------
 
 struct journal_options {
-  // Between two transactions, for each entry that owns jobs: together they stay
-  // at four fifths of the 250 a second that one part of the store does.
+  // Interval between two transactions, multiplied by the number of entries that
+  // own jobs. Together the entries stay at four fifths of the 250 transactions
+  // a second that one part of the store can handle.
   micros batch_interval_per_writer = Millis(5);
-  micros backoff = Millis(40);           // after a refusal or no answer, ...
-  micros max_backoff = Millis(320);      // ... doubled up to this
-  micros renew_interval = Millis(1000);  // of the own row, while it is needed
-  micros lease = Millis(4000);  // this entry is the owner of what it has
-                                // journaled, from the sending of a write
-                                // that was done
-  micros unreachable_after = Millis(1500);  // no answer for so long: the store
-                                            // is taken to be out of reach
+  // After a refusal or no answer; doubles each time.
+  micros backoff = Millis(40);
+  micros max_backoff = Millis(320);      // upper bound of the doubling
+  micros renew_interval = Millis(1000);  // of the own row, while it is wanted
+  // For this long after the sending of a write that was done, this entry owns
+  // what it has journaled.
+  micros lease = Millis(4000);
+  // After this long without an answer the store counts as unreachable.
+  micros unreachable_after = Millis(1500);
 };
 
-// The store takes 100 rows in a transaction, conditions and writes together.
+// The store takes 100 rows per transaction, conditions and writes together.
 constexpr size_t kMaxTransactionRows = 100;
-// ... and 1 MB, of which base64 and member names take a third and more.
+// The store takes 1 MB per transaction, of which base64 and member names take a
+// third and more.
 constexpr size_t kMaxTransactionBytes = 600'000;
 
 // ---- [2] Operations ---------------------------------------------------------
 
 using journal_op_id = strong_id<struct journal_op_tag, uint64_t>;
 
-// Done whole or not at all.
+// An operation is done entirely or not at all.
 struct journal_op {
   journal_op_id id;
   row_transaction rows;
@@ -62,51 +66,56 @@
 struct journal_result {
   journal_op_id id;
   bool done = false;     // false: a condition did not hold
-  uint64_t version = 0;  // done: of the rows that were set
+  uint64_t version = 0;  // of the rows that were set, if done
 };
 
 // ---- [3] State --------------------------------------------------------------
 
-// The transaction under way. It is sent again unchanged until the store has
-// answered: so one copy of it, at most, is done.
+// The transaction in progress. It is resent unchanged until the store has
+// answered, so at most one copy of it is done.
 struct open_transaction {
   std::vector<journal_op> ops;
   row_transaction rows;
-  uint64_t call = 0;     // 0: not sent, or answered with a refusal
-  micros sent{0};        // the newest copy
-  micros first_sent{0};  // leases count from here, as any copy may be the one
-  bool may_be_done = false;   // a copy got no answer
-  std::string own_row_value;  // of the own row, unique to this transaction
+  uint64_t call = 0;  // 0: not sent, or refused
+  micros sent{0};     // newest copy
+  // Leases start here, as any copy may be the one that was done.
+  micros first_sent{0};
+  bool may_be_done = false;  // a copy got no answer
+  std::string
+      own_row_value;  // value of the own row, unique to this transaction
 };
 
 struct journal_state {
   journal_options options;
-  row_key own_row;              // the entry's own row
-  bool own_row_wanted = false;  // the own row is to be kept, and renewed
-  std::string own_fields;       // JSON members of the own row, beside the beat
+  row_key own_row;              // key of the entry's own row
+  bool own_row_wanted = false;  // the own row is to be kept and renewed
+  std::string own_fields;  // JSON members of the own row besides the heartbeat
   std::deque<journal_op> waiting;
   std::optional<open_transaction> open;
-  std::vector<journal_result> results;  // for the caller to take
+  std::vector<journal_result> results;  // to be taken by the caller
   uint64_t next_op = 1;
   uint64_t next_call = 1;
   uint64_t heartbeat = 0;
   uint64_t own_version = 0;  // 0: there is no own row
   micros leased_until{0};
   micros next_send{0};
-  micros last_answer{0};  // of the store, to a transaction
-  uint32_t failures = 0;  // in a row
-  size_t writers = 1;     // entries that write now, this one included
-  bool deposed = false;   // another entry has taken this one's place
+  micros last_answer{0};  // of the store to a transaction
+  uint32_t failures = 0;  // consecutive
+  size_t writers = 1;    // number of entries that write now, including this one
+  bool deposed = false;  // another entry has taken over from this one
   uint64_t transactions = 0;
-  std::vector<std::pair<uint64_t, row_transaction>> calls;  // to make
+  // To be made by the caller.
+  std::vector<std::pair<uint64_t, row_transaction>> calls;
 };
 
 // ---- [4] Calls --------------------------------------------------------------
 
-// Queues an operation; its result comes once, unless this entry is deposed.
+// Queues an operation. Its result is reported once, unless this entry is
+// deposed.
 journal_op_id EnqueueWrite(journal_state& j, row_transaction rows);
 
-// Takes back an operation no copy of which was sent. False: it may be done.
+// Removes an operation from the queue. Returns false if a copy may have been
+// sent, and so may be done.
 bool Withdraw(journal_state& j, journal_op_id id);
 
 void HandleJournalReply(journal_state& j,
@@ -114,14 +123,15 @@
                         uint64_t call,
                         const rows_reply& reply);
 
-// Sends what is due. The own row is removed when it is not wanted and nothing
-// waits.
+// Sends the next transaction, if any is due. The own row is removed when it is
+// not wanted and no operation waits.
 void TickJournal(journal_state& j, micros now);
 
-// This entry is, by any clock, still the owner of what it has journaled.
+// Returns true if this entry, by any clock, still owns what it has journaled.
 bool IsOwner(const journal_state& j, micros now);
 
-// The store has not answered for long, with a write waiting.
+// Returns true if the store has not answered for `unreachable_after` while a
+// write was waiting.
 bool IsUnreachable(const journal_state& j, micros now);
 
 }  // namespace cassiaferry
--- a/include/cassiaferry/json_fields.h
+++ b/include/cassiaferry/json_fields.h
@@ -1,8 +1,8 @@
-// Members of JSON objects that somebody else wrote.
+// Access to members of JSON objects written by another process.
 //
-// Failure guarded against: another writer's record has a member of another
-// type, the library throws, and the process ends. A member that is missing or
-// of another type is as if it weren't there.
+// Failure guarded against: another writer's record has a member of an
+// unexpected type, the library throws, and the process ends. A member that is
+// missing or of another type is treated as absent.
 
 #ifndef CASSIAFERRY_JSON_FIELDS_H_
 #define CASSIAFERRY_JSON_FIELDS_H_
@@ -26,12 +26,12 @@
                                                 : std::string();
 }
 
-// Whole and not negative.
+// Reads a non-negative integer.
 template <typename Number>
-Number NumberField(const nlohmann::json& j, const char* name, Number other) {
+Number NumberField(const nlohmann::json& j, const char* name, Number fallback) {
   const nlohmann::json* field = FindField(j, name);
   return field != nullptr && field->is_number_unsigned() ? field->get<Number>()
-                                                         : other;
+                                                         : fallback;
 }
 
 inline bool FlagField(const nlohmann::json& j, const char* name) {
--- a/include/cassiaferry/rows.h
+++ b/include/cassiaferry/rows.h
@@ -1,4 +1,4 @@
-// Rows of the platform's store, as decisions read and write them.
+// Rows of the platform's store, as the core logic reads and writes them.
 //
 // A write without an answer may have been done, or may be done seconds later if
 // its conditions still hold then.
@@ -31,30 +31,31 @@
   std::string table;
   std::string key;
   std::string value;
-  uint64_t version = 0;  // grows with each change of any row
-  bool deleted = false;  // in a feed: the row is gone
+  uint64_t version = 0;  // increases with each change of any row
+  bool deleted = false;  // in a feed: the row was deleted
 };
 
 // ---- [2] Calls --------------------------------------------------------------
 
 struct row_condition {
   row_key row;
-  uint64_t version = 0;  // that the row must have; 0: there must be none
+  uint64_t version = 0;  // expected version; 0: the row must not exist
 };
 
-// All of it or nothing is done.
+// All of it is done, or nothing.
 struct row_transaction {
   std::vector<row_condition> expected;
-  std::vector<stored_row> sets;  // table, key and value count
+  std::vector<stored_row> sets;  // only table, key and value are used
   std::vector<row_key> removes;
 };
 
-// Rows of one table in the order of keys, a page at a time.
+// Rows of one table in key order, one page at a time.
 struct row_range {
   std::string table;
-  std::string from;           // first key; empty: the table's first
-  uint32_t limit = 0;         // rows; 0: as many as the store gives
-  bool exclude_from = false;  // the key `from` itself is passed over
+  std::string from;  // first key; empty: start of the table
+  uint32_t limit =
+      0;  // maximum number of rows; 0: as many as the store returns
+  bool exclude_from = false;  // the key `from` itself is left out
 };
 
 using row_call = std::variant<row_transaction, row_range>;
@@ -63,9 +64,10 @@
 
 enum class store_status : uint8_t {
   ok,
-  conflict,  // a condition did not hold: nothing was done; `rows` holds what
-             // stands there, of all rows named in conditions
-  history_gone,  // a feed can't go on from there: read the table anew
+  conflict,  // a condition did not hold and nothing was done; `rows` holds the
+             // current rows of all conditions
+  history_gone,  // the feed can't continue from there; the table must be read
+                 // again
   refused,       // busy or down; nothing was done
   no_answer,     // unknown; a write may have been done
 };
@@ -73,9 +75,10 @@
 struct rows_reply {
   store_status status = store_status::no_answer;
   std::vector<stored_row> rows;
-  uint64_t version = 0;  // of the whole store, as of this answer; after a
-                         // transaction, of the rows that it set
-  bool more = false;     // the table goes on after the last row
+  // Of the whole store as of this answer; after a transaction, of the rows that
+  // it set.
+  uint64_t version = 0;
+  bool more = false;  // the table continues after the last row
 };
 
 }  // namespace cassiaferry
--- a/src/core/directory.cc
+++ b/src/core/directory.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-// An IPv4 address and a port.
+// Returns true for an IPv4 address and a port.
 bool IsAddress(const std::string& text) {
   const size_t colon = text.rfind(':');
   if (colon == std::string::npos || colon == 0 ||
--- a/src/core/journal.cc
+++ b/src/core/journal.cc
@@ -1,4 +1,4 @@
-// Group commit of an entry's writes, as a chain.
+// Group commit of an entry's writes, each of which depends on the one before.
 //
 // Contents
 //   [1] Transactions
@@ -21,8 +21,9 @@
 }
 
 size_t BytesOf(const row_transaction& t) {
-  constexpr size_t kNames = 120;  // table, part, key and member names of a row
-  size_t bytes = RowsOf(t) * kNames;
+  constexpr size_t kNameBytes =
+      120;  // table, part, key and member names of a row
+  size_t bytes = RowsOf(t) * kNameBytes;
   for (const stored_row& row : t.sets)
     bytes += row.value.size();
   return bytes;
@@ -45,25 +46,26 @@
                      [&](const row_condition& c) { return c.row == row; });
 }
 
-// One transaction names a row once: a later operation on it waits its turn.
+// A transaction may name a row only once, so a later operation on the same row
+// waits for another transaction.
 bool Overlaps(const row_transaction& t, const row_transaction& op) {
   return std::any_of(op.expected.begin(), op.expected.end(),
                      [&](const row_condition& c) { return Touches(t, c.row); });
 }
 
-// As many waiting operations as the store takes at once, in order.
+// Takes as many waiting operations, in order, as the store accepts at once.
 std::vector<journal_op> TakeBatch(journal_state& j) {
   std::vector<journal_op> batch;
-  row_transaction so_far;
-  constexpr size_t kOwnRows = 2;  // its condition and its write
+  row_transaction batched;
+  constexpr size_t kOwnRows = 2;  // condition and write of the own row
   while (!j.waiting.empty()) {
     const row_transaction& next = j.waiting.front().rows;
     const bool fits =
-        RowsOf(so_far) + RowsOf(next) + kOwnRows <= kMaxTransactionRows &&
-        BytesOf(so_far) + BytesOf(next) <= kMaxTransactionBytes;
-    if (!batch.empty() && (!fits || Overlaps(so_far, next)))
+        RowsOf(batched) + RowsOf(next) + kOwnRows <= kMaxTransactionRows &&
+        BytesOf(batched) + BytesOf(next) <= kMaxTransactionBytes;
+    if (!batch.empty() && (!fits || Overlaps(batched, next)))
       break;
-    Append(so_far, next);
+    Append(batched, next);
     batch.push_back(std::move(j.waiting.front()));
     j.waiting.pop_front();
   }
@@ -138,15 +140,16 @@
 }
 
 void ScheduleRetry(journal_state& j, micros now) {
-  constexpr uint32_t kMostDoublings = 8;
-  const uint32_t doublings = std::min(j.failures, kMostDoublings);
+  constexpr uint32_t kMaxDoublings = 8;
+  const uint32_t doublings = std::min(j.failures, kMaxDoublings);
   ++j.failures;
   j.next_send = now + micros{std::min(j.options.backoff.value << doublings,
                                       j.options.max_backoff.value)};
 }
 
-// Failure guarded against: the answer to a write is lost after it was done. The
-// copy sent again meets its own beat in the row, which nobody else writes.
+// Failure guarded against: the answer to a write is lost after the write was
+// done. The resent copy then finds its own heartbeat in the row, which no other
+// process writes.
 void HandleConflict(journal_state& j, const std::vector<stored_row>& rows) {
   open_transaction& t = *j.open;
   const stored_row* own = FindRow(rows, j.own_row);
@@ -159,17 +162,17 @@
     j.deposed = true;
     return;
   }
-  // The chain holds: some operation's own condition does not.
-  std::vector<journal_op> again;
+  // The own row is unchanged: a condition of some operation does not hold.
+  std::vector<journal_op> retried;
   for (journal_op& op : t.ops) {
     if (AllHold(op.rows, rows)) {
-      again.push_back(std::move(op));
+      retried.push_back(std::move(op));
       continue;
     }
     j.results.push_back({op.id, false, 0});
   }
   j.open.reset();
-  Requeue(j, again);
+  Requeue(j, retried);
 }
 
 }  // namespace
@@ -215,7 +218,7 @@
   ScheduleRetry(j, now);
   if (t.may_be_done)
     return;
-  // Nothing of it was done, and nothing will be.
+  // No part of it was done or will be.
   Requeue(j, t.ops);
   j.open.reset();
 }
