--- a/include/cassiaferry/durable_jobs.h
+++ b/include/cassiaferry/durable_jobs.h
@@ -1,23 +1,23 @@
-// Jobs that are stored before they are accepted: an entry's side.
+// Durable jobs, which are stored before they are accepted: the entry's side.
 //
-// Accepted means that the job's row is in the platform's store. Any entry takes
-// a job; it then is its owner: places its tasks, stores what they come to, and
-// only after that lets workers forget their ends. The id is the idempotency
-// key: the row is inserted if absent. An owner that dies is replaced by another
-// entry, which changes the owner's own row first and so fences its writes
-// (journal.h).
+// A job is accepted once its row is in the platform's store. Any entry may
+// accept a job and then owns it: it places the job's tasks, stores their
+// results, and only then lets workers forget the ends of the runs. The job's id
+// is the idempotency key: the row is inserted if absent. If an owner dies,
+// another entry takes over by first changing the owner's own row, which fences
+// the old owner's writes (journal.h).
 //
 // Tables of the store
-//   jobs      one row a job that has not ended: owner, epoch, the job itself
-//   progress  tasks of it that are done, failed runs
-//   ended     how a job ended, kept for as long as callers may ask
-//   owners    one row an entry that owns jobs, renewed while it lives;
-//             cancels by an entry that is not the owner
+//   jobs      one row per job that has not ended: owner, epoch, the job itself
+//   progress  the job's done tasks, failed and abandoned runs
+//   ended     how a job ended, kept for as long as callers may query it
+//   owners    one row per entry that owns jobs, renewed while it lives;
+//             one row per job cancelled by an entry other than its owner
 //
 // Contents
 //   [1] Options
-//   [2] A job's own part
-//   [3] Beliefs about other entries
+//   [2] State of one job
+//   [3] Other owners and adoption
 //   [4] Calls to the store
 //   [5] State
 
@@ -42,128 +42,134 @@
 struct durable_options {
   bool enabled = false;
   micros poll_interval =
-      Millis(1000);  // of the owners' table, while one has jobs
-  micros idle_poll_interval = Millis(3000);  // ... and while none has
-  // An owner's row that has not changed for this long, while the store answers,
-  // is of a dead entry. Above the lease of its owner, by a clock 2% fast, and
-  // two of its renewals.
+      Millis(1000);  // of the owners' table, while any entry owns jobs
+  // The same, while no entry owns jobs.
+  micros idle_poll_interval = Millis(3000);
+  // An owner whose row has not changed for this long, while the store answers,
+  // counts as dead. This must exceed the lease of the owner, by a clock that is
+  // 2% fast, and two of its renewals.
   micros dead_after = Millis(4500);
   micros ended_retention =
-      Millis(150'000);  // callers ask for 120 s after the end
-  micros cancel_retention = Millis(20'000);  // the owner polls well within this
+      Millis(150'000);  // callers query a job for 120 s after its end
+  // The owner polls well within this time.
+  micros cancel_retention = Millis(20'000);
   micros abandoned_retention = Millis(60'000);
   micros foreign_retention = Millis(5000);
   micros own_row_linger =
-      Millis(10'000);  // the own row stays so long without jobs
-  // A caller that asks for a job all of whose tasks run, or have ended, gets
-  // its answer when the job ends, or after this. Callers ask when the work
-  // should be done; its end is stored some 25 ms later, and an answer "running"
-  // would cost them another round: 250 ms of 370 for jobs of 60 ms.
+      Millis(10'000);  // time for which the own row stays without jobs
+  // A query for a job whose tasks all run or have ended is answered when the
+  // job ends, or after this time. Callers usually send the query when the work
+  // should be done, but the end is stored some 25 ms later. An immediate answer
+  // "running" would cost them another round: 250 ms of 370 for jobs of 60 ms.
   micros max_answer_delay = Millis(200);
-  size_t max_jobs = 5000;  // of one entry; more are refused
-  // What tasks come to is stored together with what follows within this time:
-  // short jobs end by then, and need no write of their own before that.
+  size_t max_jobs = 5000;  // of one entry; further jobs are refused
+  // Progress of a job is stored after this delay, together with what follows in
+  // the meantime. Short jobs end within it and need no progress write of their
+  // own.
   micros save_delay = Millis(100);
 };
 
-// ---- [2] A job's own part ---------------------------------------------------
+// ---- [2] State of one job ---------------------------------------------------
 
 enum class leased_outcome : uint8_t {
   completed,
   failed,
   cancelled,
   refused,
-  accepted,  // stored; the caller asks for the rest later
+  accepted,  // stored; the caller queries the result later
 };
 
-const char* ToText(leased_outcome outcome);  // also in stored rows
+const char* ToText(leased_outcome outcome);  // also written to stored rows
 
 enum class durable_stage : uint8_t {
   none,       // not a durable job
-  accepting,  // its row is being written: nothing may start
+  accepting,  // its row is being written; nothing may start
   stored,
-  ending,  // it has come to its end, which is being written
+  ending,  // it has ended; its end is being written
 };
 
-// An end that a sidecar keeps, and its worker lists, until it is stored.
+// The end of a run that a sidecar holds, and that its worker lists, until it is
+// stored.
 struct unsaved_end {
   worker_id worker;
-  uint64_t sidecar_incarnation = 0;  // of the sidecar, counted by this entry
-  uint64_t number = 0;  // of the sidecar's ends for this entry; 0: it was found
-                        // there unclaimed, and is settled by its run
+  uint64_t sidecar_incarnation = 0;  // counted by this entry
+  // Number of the end among the sidecar's ends for this entry. 0: it was found
+  // there unclaimed, and is resolved by its run reference.
+  uint64_t number = 0;
   run_ref ref;
 };
 
 struct durable_job_state {
   durable_stage stage = durable_stage::none;
-  uint32_t epoch = 1;         // grows with each owner; high part of run numbers
-  uint64_t version = 0;       // of the job's row
-  journal_op_id pending_op;   // under way for this job; 0: none
-  bool unsaved = false;       // it has come further than its rows say, ...
-  micros unsaved_since{0};    // ... since then
-  bool has_progress = false;  // a row of progress was written
-  bool must_save = false;     // nothing starts before what it has come to is
-                              // stored
+  uint32_t epoch = 1;    // increases with each owner; high part of run numbers
+  uint64_t version = 0;  // of the job's row
+  journal_op_id pending_op;   // operation in progress for this job; 0: none
+  bool unsaved = false;       // its state is newer than its rows
+  micros unsaved_since{0};    // time since which it is unsaved
+  bool has_progress = false;  // a progress row was written
+  bool must_save = false;     // nothing may start before its progress is stored
   leased_outcome end_outcome = leased_outcome::completed;
-  std::vector<unsaved_end> unsaved_ends;  // settled with the next write
+  std::vector<unsaved_end> unsaved_ends;  // resolved with the next write
   std::vector<unsaved_end>
-      saving_ends;  // settled when the one under way is done
-  std::vector<ticket_id> cancel_tickets;  // answered when the end is stored
-  std::vector<ticket_id> query_tickets;   // answered then, or before
+      saving_ends;  // resolved when the write in progress is done
+  // Cancel requests, answered when the end is stored.
+  std::vector<ticket_id> cancel_tickets;
+  // State queries, answered then or earlier.
+  std::vector<ticket_id> query_tickets;
   micros not_before{0};  // runs of an earlier owner may last until then
 };
 
-// ---- [3] Beliefs about other entries ----------------------------------------
+// ---- [3] Other owners and adoption ------------------------------------------
 
 struct peer_owner {
   std::string key;   // of its row
-  std::string name;  // of the machine's entry, the same after a restart
+  std::string name;  // of the entry; the same after a restart on the machine
   std::string owner_incarnation;
-  bool released = false;  // it stops, and leaves its jobs to others
+  bool released = false;  // it is stopping, and leaves its jobs to others
   uint64_t version = 0;
   micros unchanged_since{
-      0};  // first seen with this version, the store answering since
-  std::map<std::string, size_t> waiting;  // jobs, by queue
+      0};  // first seen with this version; the store has answered since
+  std::map<std::string, size_t> waiting;  // waiting jobs, by queue
 };
 
 enum class adoption_stage : uint8_t {
-  claiming,      // its row is being changed
-  jobs,          // reading and taking over job rows
-  progress,      // reading what their tasks came to
-  ended,         // reading which ends it would have swept
-  removing_row,  // its row is being removed
+  claiming,      // the previous owner's row is being changed
+  jobs,          // job rows are being read and taken over
+  progress,      // progress rows are being read
+  ended,         // the ended rows that it would have swept are being read
+  removing_row,  // the previous owner's row is being removed
 };
 
 struct adopted_job {
-  std::string value;  // of its row, as taken over
+  std::string value;  // of the job's row, as taken over
   uint64_t version = 0;
   std::string progress;
   bool taken = false;
 };
 
-// One entry's jobs on their way to this one.
+// The takeover of one entry's jobs by this one.
 struct adoption {
   peer_owner previous_owner;
   adoption_stage stage = adoption_stage::claiming;
-  std::string cursor;  // next key to read
+  std::string cursor;  // last key read
   bool reading = false;
   bool read_all = false;
-  micros next_read{0};  // not before this
+  micros next_read{0};  // earliest time of the next read
   size_t open_ops = 0;
-  std::map<std::string, adopted_job> jobs;  // by id
+  std::map<std::string, adopted_job> jobs;  // by job id
   micros started{0};
 };
 
 // ---- [4] Calls to the store -------------------------------------------------
 
-// What is done with the answer to a read.
+// Purpose of a read, which decides how its answer is handled.
 enum class read_purpose : uint8_t {
   poll_owners,
-  find_ended,  // of a job asked for here, owned elsewhere: has it ended?
+  find_ended,  // a queried job that this entry does not own: has it ended?
   find_live,
-  find_ended_again,       // it may have ended between the two reads
-  find_orphan_job,        // whose runs were found on a worker: does it live?
-  find_orphan_job_ended,  // ... or has it ended?
+  find_ended_again,  // it may have ended between the two reads
+  find_orphan_job,   // a job whose runs were found on a worker: is it live?
+  find_orphan_job_ended,  // the same: has it ended?
   adopt,
 };
 
@@ -203,7 +209,7 @@
 
 // ---- [5] State --------------------------------------------------------------
 
-// What a caller is told of a job.
+// State of a job as reported to callers.
 enum class leased_job_state : uint8_t {
   unknown,  // no such job
   queued,
@@ -217,17 +223,18 @@
 
 struct ended_job {
   leased_outcome outcome = leased_outcome::completed;
-  uint32_t epoch = 1;      // of its last owner
-  bool inherited = false;  // by another process: which runs it had given up
-                           // is not known here
-  bool cancelled_elsewhere = false;  // cancelled here, owned by another entry
+  uint32_t epoch = 1;  // of its last owner
+  // Ended under another process; which runs it had abandoned is not known here.
+  bool inherited = false;
+  // Cancelled here while another entry owned it.
+  bool cancelled_elsewhere = false;
 };
 
-// A job of another entry, ends of whose runs were found on a worker.
+// A job of another entry, for which ends of runs were found on a worker.
 struct foreign_job {
   micros next_lookup_at{0};
   std::optional<end_disposition>
-      ends_disposition;  // of those ends; empty: its owner decides
+      ends_disposition;  // of those ends; empty: the job's owner decides
 };
 
 struct waiting_query {
@@ -248,36 +255,38 @@
 struct durable_state {
   durable_options options;
   journal_state journal;
-  std::string owner_incarnation;  // of this ownership; a new one after it was
-                                  // taken over
+  // Of this entry as an owner; a new one after its jobs were taken over.
+  std::string owner_incarnation;
   uint32_t generation = 0;
   micros own_row_needed_until{0};  // the own row is kept until then
-  size_t jobs = 0;                 // live ones owned here
-  std::set<uint64_t> dirty;        // sequence numbers of jobs that are unsaved
-  bool logged_as_owner = true;     // for the log
+  size_t jobs = 0;                 // live jobs owned here
+  std::set<uint64_t> dirty;        // sequence numbers of unsaved jobs
+  bool logged_as_owner = true;     // state last logged
   uint64_t next_read = 1;
   std::map<uint64_t, open_read> reads;
-  std::map<uint64_t, open_write> writes;  // by operation
+  std::map<uint64_t, open_write> writes;  // by journal operation
   bool polling = false;
-  bool polled = false;  // once, since the start
+  bool polled = false;  // at least once since the start
   bool poll_failed = false;
-  std::set<std::string> seen_in_poll;  // keys, over its pages
+  std::set<std::string> seen_in_poll;  // keys seen, over all pages of the poll
   micros next_poll{0};
-  std::map<std::string, peer_owner> peers;  // by key
+  std::map<std::string, peer_owner> peers;  // by row key
   std::optional<adoption> current_adoption;
   std::map<std::string, ended_job> ended;
-  std::deque<std::pair<micros, std::string>> ended_order;  // forget at
-  std::deque<std::pair<micros, std::string>> cancel_rows;  // remove at
-  std::deque<waiting_query> waiting_queries;  // in the order of `until`
+  // With the time to forget them.
+  std::deque<std::pair<micros, std::string>> ended_order;
+  // With the time to remove them.
+  std::deque<std::pair<micros, std::string>> cancel_rows;
+  std::deque<waiting_query> waiting_queries;  // in the order of `answer_by`
   std::map<run_ref, micros>
-      abandoned_runs;  // ordered here, given up, not ended
-  std::map<std::string, foreign_job> foreign_jobs;  // by job
+      abandoned_runs;  // ordered and abandoned here, not ended
+  std::map<std::string, foreign_job> foreign_jobs;  // by job id
   micros next_sweep{0};
   micros next_refusals{0};   // of jobs that can't be stored
-  micros own_fields_at{0};   // when the own row's facts were gathered
-  bool had_own_row = false;  // in this life
-  bool released = false;     // this entry stops, and takes up nothing more
-  bool left_jobs = false;    // ... and has left jobs to others
+  micros own_fields_at{0};   // when the own row's fields were collected
+  bool had_own_row = false;  // in this incarnation
+  bool released = false;     // this entry is stopping, and adopts no more jobs
+  bool left_jobs = false;    // it has left jobs to other entries
   durable_counters counters;
 };
 
--- a/src/core/durable_systems.h
+++ b/src/core/durable_systems.h
@@ -1,11 +1,11 @@
-// What the files of durable jobs share. Private to src/core.
+// Functions shared by the files of durable jobs. Private to src/core.
 //
 // Contents
 //   [1] Writes and reads
 //   [2] Ends
 //   [3] Callers
 //   [4] Ownership
-//   [5] Taking over
+//   [5] Adoption
 
 #ifndef CASSIAFERRY_SRC_CORE_DURABLE_SYSTEMS_H_
 #define CASSIAFERRY_SRC_CORE_DURABLE_SYSTEMS_H_
@@ -17,12 +17,12 @@
 
 namespace cassiaferry {
 
-// Runs of one owner's epoch are numbered below this many; far above the
-// attempts of a task, with the steps over numbers that were refused.
+// Bits of a run number below the owner's epoch. Their range is far above the
+// attempts of a task, including the steps over numbers that were refused.
 constexpr uint32_t kEpochShift = 12;
 
-// Run numbers of a task rise over all its owners without a write for each: the
-// owner's epoch is their high part.
+// Run numbers of a task increase across its owners without a write for each,
+// because the owner's epoch is their high part.
 constexpr uint32_t FirstRun(uint32_t epoch) {
   return epoch << kEpochShift;
 }
@@ -37,16 +37,16 @@
                         row_transaction rows,
                         open_write purpose);
 void ReadRows(entry_state& s, row_range range, open_read purpose);
-// Keeps what is known of a job past its end, and sweeps its row later.
+// Remembers how a job ended, and schedules the removal of its ended row.
 void RememberEnded(durable_state& d,
                    micros now,
                    const std::string& id,
                    const ended_job& ended);
 void EraseDurableJob(entry_state& s, leased_job& job);
-// The job's row is not as this entry left it, though nobody has taken its
-// place: a caller has cancelled the job through another entry.
+// The job's row has changed although no other entry has taken over: a caller
+// has cancelled the job through another entry.
 void HandleCancelledElsewhere(entry_state& s, micros now, leased_job& job);
-// Another entry's word that it has cancelled the job.
+// Handles another entry's notice that it has cancelled the job.
 void HandleCancelRow(entry_state& s, micros now, const std::string& id);
 
 // ---- [2] Ends (durable_ends.cc) ---------------------------------------------
@@ -64,16 +64,17 @@
                    bool unavailable);
 void AnswerOverdueQueries(entry_state& s, micros now);
 void AnswerCancelRequests(entry_state& s, leased_job& job, bool known);
-// Answers the caller with what the store says of the job, or cancels it.
+// Looks the job up in the store and answers the caller with its state, or
+// is_cancel it.
 void LookUpJob(entry_state& s,
                ticket_id ticket,
                const std::string& id,
-               bool cancels);
+               bool is_cancel);
 void HandleLookUp(entry_state& s,
                   micros now,
                   const open_read& read,
                   const rows_reply& reply);
-// Runs of a job unknown here were found on a worker: does it live?
+// Looks up a job unknown here, runs of which were found on a worker.
 void LookUpForeignJob(entry_state& s, micros now, const std::string& id);
 void HandleForeignJob(entry_state& s,
                       const open_read& read,
@@ -87,7 +88,7 @@
 void MaintainOwnRow(entry_state& s, micros now);
 void RefreshOwnRowFields(entry_state& s, micros now);
 
-// ---- [5] Taking over (durable_adoption.cc) ----------------------------------
+// ---- [5] Adoption (durable_adoption.cc) -------------------------------------
 
 void HandleOwnersPage(entry_state& s, micros now, const rows_reply& reply);
 void HandleAdoptionPage(entry_state& s, micros now, const rows_reply& reply);
