--- a/src/core/durable_adoption.cc
+++ b/src/core/durable_adoption.cc
@@ -1,17 +1,18 @@
-// Owners of durable jobs that are gone, and how their jobs are taken over.
+// Detection of dead owners of durable jobs, and the takeover of their jobs.
 //
 // Failure guarded against: an entry dies with jobs that it has accepted. Its
-// row in the owners' table stops changing; another entry changes that row,
-// which makes every write of the dead one's chain fail for good, however late
-// it arrives, and only then reads its jobs and makes them its own. Runs that
-// the dead one ordered are stopped by their sidecars, or lapse, within a known
-// time; nothing starts before. A false alarm costs work, never a promise: the
-// deposed entry's next write fails, and it drops the jobs.
+// row in the owners' table stops changing. Another entry changes that row,
+// which makes every write of the dead owner's chain fail for good, however late
+// it arrives. Only then does it read the jobs and become their owner. Runs that
+// the dead owner ordered are stopped by their sidecars, or expire with their
+// leases, within a known time; nothing starts before that. A false alarm costs
+// work but breaks no promise: the next write of the deposed entry fails, and it
+// drops the jobs.
 //
 // Contents
-//   [1] Who lives
-//   [2] Taking over
-//   [3] Answers
+//   [1] Liveness of owners
+//   [2] Adoption
+//   [3] Answers of the store
 //   [4] Tick
 
 #include <algorithm>
@@ -28,23 +29,25 @@
 namespace {
 
 constexpr micros kPageRetryDelay =
-    Millis(100);  // after a page that was not given
+    Millis(100);  // after a read of a page that failed
 
-// ---- [1] Who lives ----------------------------------------------------------
+// ---- [1] Liveness of owners -------------------------------------------------
 
-// A row that has changed, or is new, is counted from now on. While the store
-// does not answer nobody can renew: what was seen before counts for nothing.
+// The time without a change of a row that is new or has changed starts now.
+// While the store does not answer no owner can renew, so earlier observations
+// don't count.
 void RecordPeer(durable_state& d, micros now, peer_owner peer) {
   const auto known = d.peers.find(peer.key);
-  const bool same =
+  const bool unchanged =
       known != d.peers.end() && known->second.version == peer.version;
   peer.unchanged_since =
-      same && !d.poll_failed ? known->second.unchanged_since : now;
+      unchanged && !d.poll_failed ? known->second.unchanged_since : now;
   d.peers[peer.key] = std::move(peer);
 }
 
-// The process that wrote the row is gone: it stopped, this one has taken its
-// place on its machine, or it has not renewed for long.
+// Returns true if the process that wrote the row is gone: it has released its
+// jobs, this process has replaced it on its machine, or it has not renewed its
+// row for `dead_after`.
 bool IsGone(const entry_state& s, micros now, const peer_owner& peer) {
   const durable_state& d = s.leased.durable;
   if (peer.owner_incarnation == d.owner_incarnation ||
@@ -54,7 +57,7 @@
          now - peer.unchanged_since >= d.options.dead_after;
 }
 
-// ---- [2] Taking over --------------------------------------------------------
+// ---- [2] Adoption -----------------------------------------------------------
 
 void LogAdoption(entry_state& s, const char* what, const adoption& a) {
   s.actions.push_back(leased_decision{
@@ -75,7 +78,7 @@
   a.previous_owner = peer;
   a.started = now;
   ++d.counters.adoptions;
-  LogAdoption(s, "owner is gone, its jobs are taken over", a);
+  LogAdoption(s, "owner is gone, its jobs are being taken over", a);
   row_transaction rows;
   rows.expected = {{{kOwnersTable, peer.key}, peer.version}};
   rows.sets = {{kOwnersTable, peer.key, ClaimedRow(peer, d.owner_incarnation)}};
@@ -104,8 +107,8 @@
   ++a.open_ops;
 }
 
-// Runs of the owner before may go on for as long as its sidecars, and the
-// workers' leases, allow.
+// Runs of the previous owner may continue for as long as its sidecars and the
+// leases of the workers allow.
 void AddAdopted(entry_state& s,
                 micros now,
                 const std::string& id,
@@ -138,11 +141,12 @@
     ReleaseTasks(l, row);
 }
 
-// A job that a caller sends here anew while it is being taken over waits until
-// its insertion has failed.
+// A job that a caller submits here again while it is being taken over waits
+// until that insertion has failed.
 void AddAllAdopted(entry_state& s, micros now) {
   adoption& a = *s.leased.durable.current_adoption;
-  s.leased.durable.own_fields_at = {};  // their count goes with the next write
+  // Publishes their count with the next write.
+  s.leased.durable.own_fields_at = {};
   std::erase_if(a.jobs, [&](const auto& row) {
     if (!row.second.taken)
       return true;
@@ -180,7 +184,7 @@
 
 }  // namespace
 
-// ---- [3] Answers ------------------------------------------------------------
+// ---- [3] Answers of the store -----------------------------------------------
 
 void HandleOwnersPage(entry_state& s, micros now, const rows_reply& reply) {
   durable_state& d = s.leased.durable;
@@ -209,12 +213,12 @@
   d.journal.writers = d.peers.count(d.journal.own_row.key) == 0
                           ? d.peers.size() + 1
                           : d.peers.size();
-  const bool anybody = !d.seen_in_poll.empty();
+  const bool any_owner = !d.seen_in_poll.empty();
   d.seen_in_poll.clear();
   d.poll_failed = false;
   d.polled = true;
-  d.next_poll =
-      now + (anybody ? d.options.poll_interval : d.options.idle_poll_interval);
+  d.next_poll = now + (any_owner ? d.options.poll_interval
+                                 : d.options.idle_poll_interval);
 }
 
 void HandleAdoptionPage(entry_state& s, micros now, const rows_reply& reply) {
@@ -256,7 +260,7 @@
   --a.open_ops;
   switch (write.purpose) {
     case write_purpose::claim_owner:
-      if (!result.done) {  // it lives, or another entry was first
+      if (!result.done) {  // it is alive, or another entry was first
         LogAdoption(s, "owner not taken over, its row has changed", a);
         EndAdoption(s);
         return;
@@ -271,7 +275,7 @@
       return;
     }
     default:
-      LogAdoption(s, "owner's jobs are taken over", a);
+      LogAdoption(s, "owner's jobs have been taken over", a);
       EndAdoption(s);
       d.next_poll = now;
       return;
--- a/src/core/durable_callers.cc
+++ b/src/core/durable_callers.cc
@@ -1,8 +1,8 @@
-// What callers ask of durable jobs: their state, and to cancel them.
+// Requests of callers about durable jobs: state queries and cancellation.
 //
 // Contents
 //   [1] Answers
-//   [2] Questions
+//   [2] Queries
 //   [3] Jobs of other entries
 
 #include "cassiaferry/durable_jobs.h"
@@ -75,22 +75,22 @@
   job.durable.cancel_tickets.clear();
 }
 
-// ---- [2] Questions ----------------------------------------------------------
+// ---- [2] Queries ------------------------------------------------------------
 
 void LookUpJob(entry_state& s,
                ticket_id ticket,
                const std::string& id,
-               bool cancels) {
+               bool is_cancel) {
   ReadRows(s, {kEndedTable, id, 1, false},
-           {read_purpose::find_ended, id, ticket, cancels});
+           {read_purpose::find_ended, id, ticket, is_cancel});
 }
 
 void LookUpForeignJob(entry_state& s, micros now, const std::string& id) {
-  constexpr micros kAskAgain = Millis(1000);
+  constexpr micros kLookUpInterval = Millis(1000);
   foreign_job& row = s.leased.durable.foreign_jobs[id];
   if (now < row.next_lookup_at)
     return;
-  row.next_lookup_at = now + kAskAgain;
+  row.next_lookup_at = now + kLookUpInterval;
   ReadRows(s, {kJobsTable, id, 1, false},
            {read_purpose::find_orphan_job, id, {}, false});
 }
@@ -153,8 +153,8 @@
     s.actions.push_back(answer_leased_state{read.ticket, state, unavailable});
 }
 
-// A job that another entry owns is cancelled by taking its row away: whatever
-// that entry still writes for it fails, and it learns of it by the row beside.
+// A job that another entry owns is cancelled by removing its row: further
+// writes of that entry for the job fail, and the cancel row notifies it.
 void CancelElsewhere(entry_state& s,
                      micros now,
                      const open_read& read,
@@ -214,15 +214,16 @@
     AnswerLookUp(s, read, leased_job_state::unknown, false);
 }
 
-// Ends of a job that lives are its owner's to settle, and so are those of one
-// that has ended, as only its owner knows which runs it counted. If that one is
-// gone too, a lapse is always safe. A job without any row needs nothing.
+// Ends of a live job are resolved by its owner. So are ends of a job that has
+// ended, as only its owner knows which runs it counted. If that owner is gone
+// too, requesting expiry of the lease is always safe. A job without any row
+// needs nothing.
 void HandleForeignJob(entry_state& s,
                       const open_read& read,
                       const rows_reply& reply) {
   durable_state& d = s.leased.durable;
-  const auto stranger = d.foreign_jobs.find(read.id);
-  if (reply.status != store_status::ok || stranger == d.foreign_jobs.end())
+  const auto foreign = d.foreign_jobs.find(read.id);
+  if (reply.status != store_status::ok || foreign == d.foreign_jobs.end())
     return;
   const stored_row* row = FindRow(reply, read.id);
   if (read.purpose == read_purpose::find_orphan_job) {
@@ -232,12 +233,12 @@
     return;
   }
   const std::string owner = row == nullptr ? "" : OwnerOf(row->value);
-  const bool lives =
+  const bool owner_is_alive =
       owner != d.owner_incarnation && d.peers.count(kEntryPrefix + owner) != 0;
   if (row == nullptr)
-    stranger->second.ends_disposition = end_disposition::forget;
-  else if (!lives)
-    stranger->second.ends_disposition = end_disposition::expire_lease;
+    foreign->second.ends_disposition = end_disposition::forget;
+  else if (!owner_is_alive)
+    foreign->second.ends_disposition = end_disposition::expire_lease;
 }
 
 }  // namespace cassiaferry
--- a/src/core/durable_ends.cc
+++ b/src/core/durable_ends.cc
@@ -1,9 +1,10 @@
-// Ends of durable runs: settled with sidecars, and found without an open run.
+// Ends of durable runs: their resolution with sidecars, and ends found without
+// an open run.
 //
 // Contents
-//   [1] Settling
-//   [2] Judging an end that was found
-//   [3] Taking it
+//   [1] Resolution
+//   [2] Classification of orphaned ends
+//   [3] Handling of orphaned ends
 
 #include "cassiaferry/durable_jobs.h"
 
@@ -17,13 +18,13 @@
 
 namespace cassiaferry {
 
-// ---- [1] Settling -----------------------------------------------------------
+// ---- [1] Resolution ---------------------------------------------------------
 
 namespace {
 
 // Failure guarded against: the order not to acknowledge an end yet is lost with
-// its stream, and the next acknowledgement covers the end. Until the sidecar
-// has confirmed the order the end counts as unsaved, and the order is sent
+// its stream, and the next acknowledgement covers the end. The end counts as
+// unsaved until the sidecar has confirmed the order, and the order is sent
 // again on each stream.
 void ResolveEnd(entry_state& s, const unsaved_end& end, end_disposition fate) {
   leased_worker& w = s.leased.workers[end.worker.value];
@@ -51,17 +52,18 @@
   ends.clear();
 }
 
-// ---- [2] Judging an end that was found --------------------------------------
+// ---- [2] Classification of orphaned ends ------------------------------------
 
 namespace {
 
 enum class orphan_kind : uint8_t {
-  counts,          // its task has not started again: it stands
-  failure_counts,  // ... it has, but the failed run counts against its attempts
-  known,           // it has been counted, and may not be stored yet
-  irrelevant,      // nothing follows from it
-  too_late,        // its task has started again, which it would have forbidden
-  unknown,         // of no job known here
+  counts,          // its task has not started again; the end is valid
+  failure_counts,  // its task has started again, but the failed run counts
+                   // against its attempts
+  known,           // it has been counted, but may not be stored yet
+  irrelevant,      // it has no consequences
+  too_late,  // its task has started again, which this end would have prevented
+  unknown,   // its job is not known here
 };
 
 bool IsFirstOfEpoch(const leased_job& job, const leased_task_row& row) {
@@ -78,15 +80,16 @@
     return orphan_kind::known;
   const bool waits = !is_over && row.state != leased_task_state::placed;
   // Failure guarded against: the end of a run that the owner before last
-  // ordered; the last one may have started the task again, and nobody can tell.
-  const bool of_owner_before = IsFirstOfEpoch(job, row) &&
-                               end.ref.run < row.run &&
-                               end.ref.run > row.abandoned_run &&
-                               end.ref.run >= FirstRun(job.durable.epoch - 1);
-  if (waits && (newest || of_owner_before))
+  // ordered is taken as valid. The last owner may have started the task again,
+  // and no process can tell.
+  const bool of_previous_owner = IsFirstOfEpoch(job, row) &&
+                                 end.ref.run < row.run &&
+                                 end.ref.run > row.abandoned_run &&
+                                 end.ref.run >= FirstRun(job.durable.epoch - 1);
+  if (waits && (newest || of_previous_owner))
     return orphan_kind::counts;
-  // It has started again since. Had this failure been the last one allowed, it
-  // must not have.
+  // The task has started again since. That is harmless unless this failure was
+  // the last one allowed, in which case the task must not have started again.
   const bool harmless = end.kind == run_end_kind::failed &&
                         job.durable.stage != durable_stage::ending &&
                         row.failed + 1 < job.queue.max_attempts;
@@ -94,10 +97,10 @@
 }
 
 orphan_kind ClassifyForeignEnd(const durable_state& d, const run_end& end) {
-  const auto stranger = d.foreign_jobs.find(end.ref.task.job);
-  if (stranger == d.foreign_jobs.end() || !stranger->second.ends_disposition)
+  const auto foreign = d.foreign_jobs.find(end.ref.task.job);
+  if (foreign == d.foreign_jobs.end() || !foreign->second.ends_disposition)
     return orphan_kind::unknown;
-  return *stranger->second.ends_disposition == end_disposition::expire_lease
+  return *foreign->second.ends_disposition == end_disposition::expire_lease
              ? orphan_kind::too_late
              : orphan_kind::irrelevant;
 }
@@ -118,7 +121,7 @@
 
 orphan_kind ClassifyOrphan(entry_state& s, const run_end& end) {
   leased_job* job = FindLeasedJob(s.leased, end.ref.task.job);
-  // Of a job that nobody stores: there is no row to look for.
+  // The job is not durable: there is no row to look up.
   if (job == nullptr && end.ref.run < FirstRun(durable_job_state().epoch))
     return orphan_kind::irrelevant;
   if (job == nullptr || job->durable.stage == durable_stage::accepting)
@@ -130,7 +133,7 @@
                         : ClassifyTaskEnd(*job, *row, end);
 }
 
-// ---- [3] Taking it ----------------------------------------------------------
+// ---- [3] Handling of orphaned ends ------------------------------------------
 
 void HandleCountingEnd(entry_state& s,
                        micros now,
@@ -162,7 +165,7 @@
     s.actions.push_back(leased_decision{
         "end came too late", end.ref.task.job,
         std::string(ToText(end.kind)) + ", run " + std::to_string(end.ref.run) +
-            ", given up before; its worker's lease must lapse, worker " +
+            ", abandoned earlier; its worker's lease must expire, worker " +
             s.workers[id.value].name});
   }
   ResolveEnd(
@@ -174,8 +177,8 @@
 }  // namespace
 
 // Failure guarded against: the next owner of the job finds the end of a run
-// that this one gave up and replaced, and takes it for the newest. That it was
-// given up is stored before its task starts again.
+// that this entry abandoned and replaced, and takes it for the newest run. The
+// abandonment is therefore stored before the task starts again.
 void AbandonRun(entry_state& s,
                 micros now,
                 leased_job& job,
@@ -189,10 +192,10 @@
   MarkUnsaved(s, job);
 }
 
-// Failure guarded against: a run that this entry gave up as lost, and whose
+// Failure guarded against: a run that this entry abandoned as lost, and whose
 // task it started elsewhere, had ended before its worker was cut off. If its
-// end were acknowledged the task would count as done twice, or as failed too
-// often. It may be forgotten only after the worker's lease has lapsed.
+// end were acknowledged, the task would count as done twice, or as failed too
+// often. The end may be forgotten only after the worker's lease has expired.
 void HandleOrphanedEnd(entry_state& s,
                        micros now,
                        worker_id id,
@@ -234,14 +237,19 @@
                          const lease_reports& reports) {
   for (run_end end : reports.unclaimed) {
     end.number = 0;
-    // One that this entry has taken, and is storing, is settled when it is.
+    // An end that this entry has received and is storing is resolved once it is
+    // stored.
     leased_job* job = FindLeasedJob(s.leased, end.ref.task.job);
-    const auto is_it = [&](const unsaved_end& u) { return u.ref == end.ref; };
-    if (job != nullptr && std::any_of(job->durable.unsaved_ends.begin(),
-                                      job->durable.unsaved_ends.end(), is_it))
+    const auto is_same_end = [&](const unsaved_end& u) {
+      return u.ref == end.ref;
+    };
+    if (job != nullptr &&
+        std::any_of(job->durable.unsaved_ends.begin(),
+                    job->durable.unsaved_ends.end(), is_same_end))
       continue;
-    if (job != nullptr && std::any_of(job->durable.saving_ends.begin(),
-                                      job->durable.saving_ends.end(), is_it))
+    if (job != nullptr &&
+        std::any_of(job->durable.saving_ends.begin(),
+                    job->durable.saving_ends.end(), is_same_end))
       continue;
     HandleRunEnd(s, now, id, end);
   }
--- a/src/core/durable_jobs.cc
+++ b/src/core/durable_jobs.cc
@@ -1,9 +1,10 @@
-// Durable jobs of an entry: taking, storing, answers of the store, the tick.
+// Durable jobs of an entry: acceptance, storing of progress, answers of the
+// store, and the tick.
 //
 // Contents
 //   [1] Writes and reads
-//   [2] Taking a job
-//   [3] Storing what tasks come to
+//   [2] Accepting a job
+//   [3] Storing progress
 //   [4] Answers of the store
 //   [5] Tick
 
@@ -37,7 +38,7 @@
 
 void ReadRows(entry_state& s, row_range range, open_read purpose) {
   durable_state& d = s.leased.durable;
-  // Even numbers are the journal's, odd ones are reads.
+  // Even call numbers belong to the journal, odd ones to reads.
   const uint64_t call = 2 * d.next_read++ + 1;
   d.reads.emplace(call, std::move(purpose));
   ++d.counters.reads;
@@ -60,7 +61,7 @@
   EraseLeasedJob(s, job);
 }
 
-// ---- [2] Taking a job -------------------------------------------------------
+// ---- [2] Accepting a job ----------------------------------------------------
 
 namespace {
 
@@ -69,15 +70,15 @@
           "the store doesn't answer; nothing was stored", kStoreRetryMs};
 }
 
-// Null: it may be taken.
+// Returns nullopt if the job may be accepted.
 std::optional<failure> RefusalReason(const entry_state& s, micros now) {
   const durable_state& d = s.leased.durable;
-  // A stopping entry serves what its callers still send on open connections;
-  // what it can't finish it leaves to others.
-  const bool stops =
+  // A stopping entry serves what its callers still send on open connections,
+  // and leaves what it can't finish to other entries.
+  const bool is_stopping =
       s.draining &&
       (d.released || now - s.drain_since >= s.leased.options.drain_accept);
-  if (stops)
+  if (is_stopping)
     return failure{verdict::not_run, reason::draining, "this entry stops",
                    kStoreRetryMs};
   if (IsUnreachable(d.journal, now))
@@ -114,9 +115,10 @@
     EndDurableJob(s, job, leased_outcome::cancelled);
 }
 
-// Another entry has it, or it has ended: the caller's id names that job.
+// Another entry has stored the job, or it has ended: the caller's id refers to
+// that job.
 void HandleAlreadyStored(entry_state& s, leased_job& job) {
-  LogJob(s, "job known already", job, "stored by another entry");
+  LogJob(s, "job already known", job, "stored by another entry");
   AnswerTickets(s, job, leased_outcome::accepted, {});
   const std::vector<ticket_id> cancels = std::move(job.durable.cancel_tickets);
   const std::string id = job.id;
@@ -151,7 +153,7 @@
     EraseDurableJob(s, job);
     return;
   }
-  // It may be stored already, or be stored later: then it runs.
+  // The job may be stored already, or may be stored later; it then runs.
   AnswerTickets(s, job, leased_outcome::refused,
                 {verdict::may_have_run, reason::deadline,
                  "the store has not answered yet", kStoreRetryMs});
@@ -159,14 +161,14 @@
 
 namespace {
 
-// The store is out of reach: callers that wait for their jobs to be stored are
-// told at once, and not when their time is over.
+// While the store is unreachable, callers that wait for their jobs to be stored
+// are refused at once, and not only at their deadlines.
 void RefuseWhileUnreachable(entry_state& s, micros now) {
-  constexpr micros kEvery = Millis(100);
+  constexpr micros kInterval = Millis(100);
   durable_state& d = s.leased.durable;
   if (!IsUnreachable(d.journal, now) || now < d.next_refusals)
     return;
-  d.next_refusals = now + kEvery;
+  d.next_refusals = now + kInterval;
   std::vector<leased_seq> accepting;
   for (const auto& [seq, job] : s.leased.jobs) {
     if (job.durable.stage == durable_stage::accepting && !job.tickets.empty())
@@ -178,7 +180,7 @@
 
 }  // namespace
 
-// ---- [3] Storing what tasks come to -----------------------------------------
+// ---- [3] Storing progress ---------------------------------------------------
 
 void MarkUnsaved(entry_state& s, leased_job& job) {
   if (!IsDurable(job))
@@ -250,8 +252,8 @@
   job.durable.has_progress = true;
 }
 
-// Each job has one write under way; what it comes to meanwhile goes with the
-// next.
+// Each job has at most one write in progress; what changes meanwhile goes into
+// the next one.
 void WriteUnsaved(entry_state& s, micros now) {
   durable_state& d = s.leased.durable;
   std::erase_if(d.dirty, [&](uint64_t seq) {
@@ -261,12 +263,12 @@
       return false;
     if (job.durable.unsaved_since.value == 0)
       job.durable.unsaved_since = now;
-    const bool due = job.durable.stage == durable_stage::ending ||
-                     job.durable.must_save ||
-                     now - job.durable.unsaved_since >= d.options.save_delay;
-    if (due)
+    const bool is_due = job.durable.stage == durable_stage::ending ||
+                        job.durable.must_save ||
+                        now - job.durable.unsaved_since >= d.options.save_delay;
+    if (is_due)
       WriteProgress(s, job);
-    return due;
+    return is_due;
   });
 }
 
@@ -290,8 +292,8 @@
 
 }  // namespace
 
-// The job's row is not as this entry left it, though nobody has taken its
-// place: a caller has cancelled the job through another entry.
+// The job's row has changed although no other entry has taken over: a caller
+// has cancelled the job through another entry.
 void HandleCancelledElsewhere(entry_state& s, micros now, leased_job& job) {
   durable_state& d = s.leased.durable;
   CountOutcome(s, now, job, leased_outcome::cancelled,
@@ -345,7 +347,7 @@
       HandleJobWrite(s, now, write, result);
       return;
     case write_purpose::cancel_elsewhere:
-      if (!result.done) {  // it has moved on: look again
+      if (!result.done) {  // the job's row has changed; look it up again
         LookUpJob(s, write.ticket, write.id, true);
         return;
       }
@@ -418,10 +420,10 @@
 
 namespace {
 
-// Rows that nobody asks for any more are removed, many to a transaction.
+// Removes rows that no caller queries any more, many to a transaction.
 void Sweep(entry_state& s, micros now) {
-  constexpr size_t kMostAtOnce = 40;
-  constexpr micros kEvery = Millis(1000);
+  constexpr size_t kMaxRemovals = 40;
+  constexpr micros kInterval = Millis(1000);
   durable_state& d = s.leased.durable;
   std::erase_if(d.abandoned_runs, [&](const auto& row) {
     return now - row.second > d.options.abandoned_retention;
@@ -431,16 +433,16 @@
   });
   if (now < d.next_sweep || IsUnreachable(d.journal, now))
     return;
-  d.next_sweep = now + kEvery;
+  d.next_sweep = now + kInterval;
   row_transaction rows;
   while (!d.ended_order.empty() && d.ended_order.front().first <= now &&
-         rows.removes.size() < kMostAtOnce) {
+         rows.removes.size() < kMaxRemovals) {
     rows.removes.push_back({kEndedTable, d.ended_order.front().second});
     d.ended.erase(d.ended_order.front().second);
     d.ended_order.pop_front();
   }
   while (!d.cancel_rows.empty() && d.cancel_rows.front().first <= now &&
-         rows.removes.size() < 2 * kMostAtOnce) {
+         rows.removes.size() < 2 * kMaxRemovals) {
     rows.removes.push_back(
         {kOwnersTable, kCancelPrefix + d.cancel_rows.front().second});
     d.cancel_rows.pop_front();
--- a/src/core/durable_ownership.cc
+++ b/src/core/durable_ownership.cc
@@ -1,8 +1,9 @@
-// Ownership of durable jobs: the own row, losing it, leaving jobs to others.
+// Ownership of durable jobs: the own row, loss of ownership, and leaving jobs
+// to other entries.
 //
 // Contents
 //   [1] Leaving jobs
-//   [2] Losing them
+//   [2] Loss of ownership
 //   [3] The own row
 
 #include "cassiaferry/durable_jobs.h"
@@ -32,8 +33,9 @@
     function(s.leased.jobs.at(seq));
 }
 
-// The jobs are another entry's, or about to be: nothing of them is said or done
-// here any more. Callers that wait for an answer get none that promises.
+// The jobs belong to another entry, or are about to. This entry no longer
+// reports or does anything for them. Callers that wait for an answer get one
+// that promises nothing.
 void LeaveJobs(entry_state& s) {
   ForEachDurableJob(s, [&](leased_job& job) {
     StopRuns(s, job);
@@ -67,11 +69,11 @@
 
 }  // namespace
 
-// ---- [2] Losing them --------------------------------------------------------
+// ---- [2] Loss of ownership --------------------------------------------------
 
-// Failure guarded against: this entry was cut off from the store, or stood
-// still, for so long that another took its jobs over. Its writes fail from then
-// on; it drops the jobs and goes on as a new owner.
+// Failure guarded against: this entry was cut off from the store, or was
+// stalled, for so long that another entry took its jobs over. Its writes fail
+// from then on. It drops the jobs and continues as a new owner.
 void Depose(entry_state& s) {
   durable_state& d = s.leased.durable;
   ++d.counters.deposed;
@@ -88,18 +90,18 @@
   BeginIncarnation(s);
 }
 
-// Failure guarded against: the store is out of this entry's reach, and another
-// entry may soon take its jobs over. What runs is stopped before that.
+// Failure guarded against: this entry can't reach the store, and another entry
+// may soon take its jobs over. Its runs are stopped before that.
 void CheckOwnership(entry_state& s, micros now) {
   durable_state& d = s.leased.durable;
   const bool owner = d.journal.own_version == 0 || IsOwner(d.journal, now);
   if (owner != d.logged_as_owner)
     s.actions.push_back(leased_decision{
-        owner ? "owns its jobs again" : "owns its jobs no more", "",
+        owner ? "owns its jobs again" : "no longer owns its jobs", "",
         "life " + d.owner_incarnation + ", jobs " + std::to_string(d.jobs)});
-  const bool lapsed = d.logged_as_owner && !owner;
+  const bool expired = d.logged_as_owner && !owner;
   d.logged_as_owner = owner;
-  if (!lapsed)
+  if (!expired)
     return;
   ForEachDurableJob(s, [&](leased_job& job) {
     for (leased_task_row& row : job.tasks) {
@@ -111,8 +113,8 @@
   });
 }
 
-// A stopping entry leaves what it has not finished to others, in time for that
-// to be written.
+// A stopping entry leaves its unfinished jobs to other entries, early enough
+// for that to be written.
 void ReleaseJobs(entry_state& s, micros now) {
   durable_state& d = s.leased.durable;
   const leased_options& o = s.leased.options;
@@ -121,11 +123,11 @@
     return;
   d.released = true;
   if (d.jobs == 0 && !d.current_adoption)
-    return;  // the own row goes
+    return;  // the own row is removed
   s.actions.push_back(leased_decision{"jobs left to other entries", "",
                                       "jobs " + std::to_string(d.jobs)});
   LeaveJobs(s);
-  d.current_adoption.reset();  // what it has taken so far is left too
+  d.current_adoption.reset();  // adopted jobs are left as well
   d.left_jobs = true;
   d.own_fields_at = {};
   WriteRows(d, {}, {write_purpose::release, "", {}});
@@ -133,15 +135,16 @@
 
 // ---- [3] The own row --------------------------------------------------------
 
-// The own row is there while jobs are owned, and some time longer. Once it is
-// gone this entry is a new owner: a copy of an old write that is still on its
-// way must not find the row absent, as it expects, and apply.
+// The own row exists while jobs are owned, and for some time longer. Once it is
+// removed this entry becomes a new owner: otherwise a copy of an old write that
+// is still in flight might find the row absent, as it expects, and apply.
 void MaintainOwnRow(entry_state& s, micros now) {
   durable_state& d = s.leased.durable;
   if (d.jobs > 0 || d.current_adoption)
     d.own_row_needed_until =
         std::max(d.own_row_needed_until, now + d.options.own_row_linger);
-  // One that says that jobs are left to others stays until they are taken.
+  // A row that says that jobs are left to others stays until they are taken
+  // over.
   const bool needed = d.left_jobs ? d.journal.own_version != 0
                                   : now < d.own_row_needed_until && !d.released;
   const bool removed = !d.journal.own_row_wanted && d.had_own_row &&
@@ -156,9 +159,9 @@
 }
 
 void RefreshOwnRowFields(entry_state& s, micros now) {
-  constexpr micros kEvery = Millis(250);
+  constexpr micros kInterval = Millis(250);
   durable_state& d = s.leased.durable;
-  if (d.own_fields_at.value != 0 && now - d.own_fields_at < kEvery)
+  if (d.own_fields_at.value != 0 && now - d.own_fields_at < kInterval)
     return;
   d.own_fields_at = now;
   d.journal.own_fields = OwnRowFields(s);
--- a/src/core/durable_rows.cc
+++ b/src/core/durable_rows.cc
@@ -1,4 +1,4 @@
-// Rows of durable jobs, as JSON.
+// JSON form of the rows of durable jobs.
 //
 // Contents
 //   [1] Jobs
@@ -19,7 +19,8 @@
 
 namespace {
 
-constexpr uint64_t kMaxTasks = 100'000;  // of a job; more are not accepted
+// Of a job; jobs with more are not accepted.
+constexpr uint64_t kMaxTasks = 100'000;
 
 std::string Dump(const json& j) {
   return j.dump(-1, ' ', false, json::error_handler_t::replace);
@@ -170,16 +171,16 @@
 
 namespace {
 
-const json& ListField(const json& j, const char* name, const json& none) {
+const json& ListField(const json& j, const char* name, const json& empty_list) {
   const json* field = FindField(j, name);
-  return field != nullptr && field->is_array() ? *field : none;
+  return field != nullptr && field->is_array() ? *field : empty_list;
 }
 
 size_t ReadIndex(const json& j) {
   return j.is_number_unsigned() ? j.get<size_t>() : SIZE_MAX;
 }
 
-// The index of a task, and a number for it.
+// Returns true for a pair of a task's index and a number.
 bool IsIndexedPair(const json& j, size_t tasks) {
   return j.is_array() && j.size() == 2 && ReadIndex(j[0]) < tasks &&
          j[1].is_number_unsigned();
@@ -189,8 +190,8 @@
 
 void ReadProgressRow(const std::string& progress_row, leased_job& job) {
   const json j = Parse(progress_row);
-  const json none = json::array();
-  for (const json& index : ListField(j, "done", none)) {
+  const json empty_list = json::array();
+  for (const json& index : ListField(j, "done", empty_list)) {
     const size_t i = ReadIndex(index);
     if (i >= job.tasks.size() || job.tasks[i].state == leased_task_state::done)
       continue;
@@ -198,11 +199,11 @@
     ++job.done;
     --job.step_tasks_left[job.tasks[i].task.step];
   }
-  for (const json& pair : ListField(j, "failed", none)) {
+  for (const json& pair : ListField(j, "failed", empty_list)) {
     if (IsIndexedPair(pair, job.tasks.size()))
       job.tasks[ReadIndex(pair[0])].failed = pair[1].get<uint32_t>();
   }
-  for (const json& pair : ListField(j, "given_up", none)) {
+  for (const json& pair : ListField(j, "given_up", empty_list)) {
     if (IsIndexedPair(pair, job.tasks.size()))
       job.tasks[ReadIndex(pair[0])].abandoned_run = pair[1].get<uint32_t>();
   }
