--- a/include/cassiaferry/durable_jobs.h
+++ b/include/cassiaferry/durable_jobs.h
@@ -41,22 +41,22 @@
 
 struct durable_options {
   bool enabled = false;
-  micros poll_interval =
-      Millis(1000);  // of the owners' table, while any entry owns jobs
+  // Of the owners' table, while any entry owns jobs.
+  micros poll_interval = Millis(1000);
   // The same, while no entry owns jobs.
   micros idle_poll_interval = Millis(3000);
   // An owner whose row has not changed for this long, while the store answers,
   // counts as dead. This must exceed the lease of the owner, by a clock that is
   // 2% fast, and two of its renewals.
   micros dead_after = Millis(4500);
-  micros ended_retention =
-      Millis(150'000);  // callers query a job for 120 s after its end
+  // Callers query a job for 120 s after its end.
+  micros ended_retention = Millis(150'000);
   // The owner polls well within this time.
   micros cancel_retention = Millis(20'000);
   micros abandoned_retention = Millis(60'000);
   micros foreign_retention = Millis(5000);
-  micros own_row_linger =
-      Millis(10'000);  // time for which the own row stays without jobs
+  // Time for which the own row stays after the last job.
+  micros own_row_linger = Millis(10'000);
   // A query for a job whose tasks all run or have ended is answered when the
   // job ends, or after this time. Callers usually send the query when the work
   // should be done, but the end is stored some 25 ms later. An immediate answer
@@ -127,8 +127,8 @@
   std::string owner_incarnation;
   bool released = false;  // it is stopping, and leaves its jobs to others
   uint64_t version = 0;
-  micros unchanged_since{
-      0};  // first seen with this version; the store has answered since
+  // When this version was first seen; the store has answered since.
+  micros unchanged_since{0};
   std::map<std::string, size_t> waiting;  // waiting jobs, by queue
 };
 
--- a/include/cassiaferry/rows.h
+++ b/include/cassiaferry/rows.h
@@ -53,8 +53,8 @@
 struct row_range {
   std::string table;
   std::string from;  // first key; empty: start of the table
-  uint32_t limit =
-      0;  // maximum number of rows; 0: as many as the store returns
+  // Maximum number of rows; 0: as many as the store returns.
+  uint32_t limit = 0;
   bool exclude_from = false;  // the key `from` itself is left out
 };
 
--- a/src/core/durable_adoption.cc
+++ b/src/core/durable_adoption.cc
@@ -28,8 +28,8 @@
 
 namespace {
 
-constexpr micros kPageRetryDelay =
-    Millis(100);  // after a read of a page that failed
+// After a read of a page that failed.
+constexpr micros kPageRetryDelay = Millis(100);
 
 // ---- [1] Liveness of owners -------------------------------------------------
 
--- a/src/core/durable_ends.cc
+++ b/src/core/durable_ends.cc
@@ -26,29 +26,31 @@
 // its stream, and the next acknowledgement covers the end. The end counts as
 // unsaved until the sidecar has confirmed the order, and the order is sent
 // again on each stream.
-void ResolveEnd(entry_state& s, const unsaved_end& end, end_disposition fate) {
+void ResolveEnd(entry_state& s,
+                const unsaved_end& end,
+                end_disposition disposition) {
   leased_worker& w = s.leased.workers[end.worker.value];
   if (w.sidecar_incarnation != end.sidecar_incarnation)
     return;  // whoever finds it there offers it again
-  if (end.number != 0 && fate == end_disposition::forget) {
+  if (end.number != 0 && disposition == end_disposition::forget) {
     w.unsaved_ends.erase(end.number);
     return;
   }
   if (end.number != 0)
     w.unsaved_ends.insert(end.number);
   w.open_resolutions.push_back(
-      {++w.resolutions_sent, end.number, {end.ref, fate}});
+      {++w.resolutions_sent, end.number, {end.ref, disposition}});
   if (s.workers[end.worker.value].state != worker_link::down)
-    OrdersFor(s, end.worker).resolved_ends.push_back({end.ref, fate});
+    OrdersFor(s, end.worker).resolved_ends.push_back({end.ref, disposition});
 }
 
 }  // namespace
 
 void ResolveEnds(entry_state& s,
                  std::vector<unsaved_end>& ends,
-                 end_disposition fate) {
+                 end_disposition disposition) {
   for (const unsaved_end& end : ends)
-    ResolveEnd(s, end, fate);
+    ResolveEnd(s, end, disposition);
   ends.clear();
 }
 
@@ -159,8 +161,8 @@
 void ResolveOrphan(entry_state& s,
                    worker_id id,
                    const run_end& end,
-                   end_disposition fate) {
-  if (fate == end_disposition::expire_lease) {
+                   end_disposition disposition) {
+  if (disposition == end_disposition::expire_lease) {
     ++s.leased.durable.counters.expiries_requested;
     s.actions.push_back(leased_decision{
         "end came too late", end.ref.task.job,
@@ -171,7 +173,7 @@
   ResolveEnd(
       s,
       {id, s.leased.workers[id.value].sidecar_incarnation, end.number, end.ref},
-      fate);
+      disposition);
 }
 
 }  // namespace
--- a/src/core/durable_systems.h
+++ b/src/core/durable_systems.h
@@ -53,7 +53,7 @@
 
 void ResolveEnds(entry_state& s,
                  std::vector<unsaved_end>& ends,
-                 end_disposition fate);
+                 end_disposition disposition);
 
 // ---- [3] Callers (durable_callers.cc) ---------------------------------------
 
--- a/src/core/journal.cc
+++ b/src/core/journal.cc
@@ -21,8 +21,8 @@
 }
 
 size_t BytesOf(const row_transaction& t) {
-  constexpr size_t kNameBytes =
-      120;  // table, part, key and member names of a row
+  // Table, part, key and member names of a row.
+  constexpr size_t kNameBytes = 120;
   size_t bytes = RowsOf(t) * kNameBytes;
   for (const stored_row& row : t.sets)
     bytes += row.value.size();
