--- a/include/cassiaferry/claims.h
+++ b/include/cassiaferry/claims.h
@@ -60,8 +60,8 @@
   uint64_t nonce = 0;   // identifies the claim; random, new for each attempt
   uint64_t digest = 0;  // of the job's body; tells a repeat from another job
   std::string owner;    // HTTP address of the owning entry, "ip:port"
-  incarnation
-      owner_incarnation;  // a restarted owner no longer knows what it started
+  // A restarted owner no longer knows what it started.
+  incarnation owner_incarnation;
   bool done = false;
   std::string outcome;     // JSON answer, set once done
   int64_t expires_ms = 0;  // wall clock; used only to delete expired rows
--- a/include/cassiaferry/durable_jobs.h
+++ b/include/cassiaferry/durable_jobs.h
@@ -233,8 +233,8 @@
 // A job of another entry, for which ends of runs were found on a worker.
 struct foreign_job {
   micros next_lookup_at{0};
-  std::optional<end_disposition>
-      ends_disposition;  // of those ends; empty: the job's owner decides
+  // Of those ends; empty: the job's owner decides.
+  std::optional<end_disposition> ends_disposition;
 };
 
 struct waiting_query {
@@ -273,13 +273,13 @@
   std::map<std::string, peer_owner> peers;  // by row key
   std::optional<adoption> current_adoption;
   std::map<std::string, ended_job> ended;
-  // With the time to forget them.
+  // Ids of ended jobs, with the time to forget each.
   std::deque<std::pair<micros, std::string>> ended_order;
-  // With the time to remove them.
+  // Jobs with a cancel row, with the time to remove each row.
   std::deque<std::pair<micros, std::string>> cancel_rows;
   std::deque<waiting_query> waiting_queries;  // in the order of `answer_by`
-  std::map<run_ref, micros>
-      abandoned_runs;  // ordered and abandoned here, not ended
+  // Ordered and abandoned here, not ended.
+  std::map<run_ref, micros> abandoned_runs;
   std::map<std::string, foreign_job> foreign_jobs;  // by job id
   micros next_sweep{0};
   micros next_refusals{0};   // of jobs that can't be stored
