--- a/src/core/leased_jobs.cc
+++ b/src/core/leased_jobs.cc
@@ -385,7 +385,7 @@
   leased_job job = BuildJob(l, now, event, *queue);
   if (RefusesNewWork(s, job)) {
     RefuseTicket(s, event.ticket, job.id,
-                 {verdict::not_run, reason::queue_full, "this entry is late",
+                 {verdict::not_run, reason::queue_full, "this entry acts late",
                   RetryAfterMs(s)},
                  LatenessText(l.late));
     return;
--- a/src/core/leased_tick.cc
+++ b/src/core/leased_tick.cc
@@ -114,9 +114,10 @@
                               const free_resources_summary& free_resources,
                               const leased_job& job) {
   return "waiting " + std::to_string(s.leased.waiting.size()) +
-         ", min cpu needed " + std::to_string(job.min_cpu) +
-         ", max free cpu on a worker " +
-         std::to_string(free_resources.max_free_cpu) + ", usable workers " +
+         ", least cpu needed " + std::to_string(job.min_cpu) +
+         ", most free on a worker " +
+         std::to_string(free_resources.max_free_cpu) +
+         ", workers not avoided " +
          std::to_string(free_resources.usable_workers) + ", " +
          LatenessText(s.leased.late);
 }
@@ -147,8 +148,7 @@
     leased_job& job = s.leased.jobs[seq];
     Conclude(s, now, job, leased_outcome::refused,
              {verdict::not_run, reason::deadline_unreachable,
-              "not enough capacity in time, " +
-                  FreeResourcesText(s, free_resources, job),
+              "no room in time, " + FreeResourcesText(s, free_resources, job),
               RetryAfterMs(s, drain_ms)});
   }
 }
